--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -73,7 +73,7 @@
     forwarding_state& forwarding;
     deployment_state state;
     configuration_reader reader;
-    store_duty duty;
+    store_read_policy duty;
     store_follower store;
     link_hub links;
     std::unique_ptr<membership_service> membership;
@@ -207,7 +207,7 @@
 void gateway::parts::compare_with_bounds() const {
     const auto compare = [](std::string_view name, record_topic topic,
                             std::optional<milliseconds> bound) {
-        const milliseconds longest = longest_learning(topic);
+        const milliseconds longest = max_propagation_time(topic);
         if (bound && longest > *bound) {
             log_event(events::bound_too_short, "bound={} bound_ms={} longest_ms={}", name,
                       bound->count(), longest.count());
--- a/bamboostream/src/Gateway/quarantine_keeper.cpp
+++ b/bamboostream/src/Gateway/quarantine_keeper.cpp
@@ -3,7 +3,7 @@
 #include "bamboostream/src/Contracts/json_reader.h"
 #include "bamboostream/src/Control/periodic.h"
 #include "bamboostream/src/Core/event_log.h"
-#include "bamboostream/src/Gateway/store_duty.h"
+#include "bamboostream/src/Gateway/store_read_policy.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -22,7 +22,7 @@
 constexpr std::size_t writers = 2;
 /// Until a seed has answered, an instance doesn't know its peers.
 constexpr milliseconds first_contact{200};
-constexpr milliseconds pause_after_failure{1'000};
+constexpr milliseconds retry_delay{1'000};
 constexpr std::chrono::hours idle_wait{1};
 
 bool is_among(const std::vector<std::string>& names, const std::string& name) {
@@ -93,7 +93,7 @@
 
 asio::awaitable<void> quarantine_keeper::restore() {
     co_await pause_for(first_contact);
-    const auto order = membership_.owners("store", store_duty::order_length);
+    const auto order = membership_.owners("store", store_read_policy::order_length);
     if (!is_among(order, membership_.own_address())) {
         co_return;
     }
@@ -104,7 +104,7 @@
             take(*records);
             co_return;
         }
-        co_await pause_for(pause_after_failure);
+        co_await pause_for(retry_delay);
     }
 }
 
@@ -132,7 +132,7 @@
         if (co_await write(request)) {
             unwritten_.erase(request);
         } else {
-            co_await pause_for(pause_after_failure);
+            co_await pause_for(retry_delay);
         }
     }
 }
--- a/bamboostream/src/Gateway/store_follower.cpp
+++ b/bamboostream/src/Gateway/store_follower.cpp
@@ -56,7 +56,8 @@
         return plan_->awaits_others(position.topic, now) ? read_reason::none : read_reason::start;
     }
     if (plan_->must_read(position.topic, now)) {
-        return plan_->role() == reading_role::reader ? read_reason::duty : read_reason::old_views;
+        return plan_->role() == store_read_role::reader ? read_reason::duty
+                                                        : read_reason::old_views;
     }
     if (position.topic == record_topic::backend_entries) {
         return entries_wanted_ ? read_reason::missed_changes : read_reason::none;
@@ -83,7 +84,7 @@
             position.next.reset();
             failures = 0;
             note_answer(position, true, {});
-            co_await pause_for(look_pause);
+            co_await pause_for(recheck_period);
             continue;
         }
         ++calls_[static_cast<std::size_t>(reason)];
@@ -93,7 +94,7 @@
         position.read_before = position.read_before || answered;
         failures = answered ? 0 : failures + 1;
         co_await pause_for(answered ? pause_between_reads
-                                    : store_duty::pause_after_failure(plan_->role(), failures));
+                                    : store_read_policy::retry_delay(plan_->role(), failures));
     }
 }
 
--- a/bamboostream/src/Gateway/store_follower.h
+++ b/bamboostream/src/Gateway/store_follower.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bamboostream/src/Gateway/deployment_state.h"
-#include "bamboostream/src/Gateway/store_duty.h"
+#include "bamboostream/src/Gateway/store_read_policy.h"
 
 #include <array>
 #include <boost/asio/awaitable.hpp>
@@ -25,7 +25,7 @@
     virtual milliseconds read_wait(record_topic topic, time_point now) const = 0;
     /// Whether a configuration was told of that the other instances don't hand on.
     virtual bool must_read_configuration(time_point now) = 0;
-    virtual reading_role role() const = 0;
+    virtual store_read_role role() const = 0;
     /// The store has answered this instance.
     virtual void note_answer() = 0;
 };
@@ -54,7 +54,7 @@
 using store_calls = std::array<std::uint64_t, static_cast<std::size_t>(read_reason::count_)>;
 
 /// Follows the topics of the platform's store and keeps the deployment state up to date, while it
-/// is this instance's duty. See also `store_duty`.
+/// is this instance's duty. See also `store_read_policy`.
 class store_follower {
 public:
     store_follower(boost::asio::io_context& context, record_store& store, deployment_state& state)
@@ -68,7 +68,7 @@
     duration own_age(record_topic topic, time_point now) const;
     /// Whether this instance's own reads of the topic tell what the store says now.
     bool reads_well(record_topic topic, time_point now) const {
-        return own_age(topic, now) <= times_of(topic).longest_view;
+        return own_age(topic, now) <= read_timing_of(topic).max_view_age;
     }
     /// A configuration that was told of is being read from the store.
     bool fetches_configuration() const {
--- a/bamboostream/src/Gateway/store_news.cpp
+++ b/bamboostream/src/Gateway/store_news.cpp
@@ -52,7 +52,7 @@
 
 store_news::store_news(asio::io_context& context, link_hub& links, membership_service& membership,
                        forwarding_state& forwarding, deployment_state& state, store_follower& store,
-                       store_duty& duty, configuration_spread& spread)
+                       store_read_policy& duty, configuration_spread& spread)
     : context_(context), links_(links), membership_(membership), forwarding_(forwarding),
       state_(state), store_(store), duty_(duty), spread_(spread), due_(context) {}
 
@@ -64,7 +64,7 @@
 }
 
 std::vector<std::string> store_news::reading_order() const {
-    return membership_.owners("store", store_duty::order_length);
+    return membership_.owners("store", store_read_policy::order_length);
 }
 
 bool store_news::must_read(record_topic topic, time_point now) const {
@@ -87,7 +87,7 @@
     if (since < first_contact) {
         return true;
     }
-    if (membership_.usable_peers().empty() || role() != reading_role::other) {
+    if (membership_.usable_peers().empty() || role() != store_read_role::other) {
         return false;
     }
     return since < handing_on_at_start || spread_.is_receiving(now);
@@ -101,8 +101,8 @@
     return spread_.must_read_store(now);
 }
 
-reading_role store_news::role() const {
-    return store_duty::role_of(reading_order(), membership_.own_address());
+store_read_role store_news::role() const {
+    return store_read_policy::role_of(reading_order(), membership_.own_address());
 }
 
 void store_news::note_answer() {
@@ -140,7 +140,7 @@
     const bool found_out = !changes.empty() && forwarding_.registry.store_away();
     const bool reads = store_.reads_well(record_topic::backend_entries, now) ||
                        store_.reads_well(record_topic::operator_documents, now);
-    if (!(reads && role() != reading_role::other) && !found_out) {
+    if (!(reads && role() != store_read_role::other) && !found_out) {
         return;
     }
     told_at_ = now;
@@ -230,7 +230,7 @@
     const bool entries = topic == record_topic::backend_entries;
     const duration age =
         entries ? forwarding_.entries_view.age(now) : forwarding_.documents_view.age(now);
-    if (stale != (age > times_of(topic).read_by_all)) {
+    if (stale != (age > read_timing_of(topic).fallback_view_age)) {
         stale = !stale;
         log_event(stale ? events::view_stale : events::view_fresh, "topic={} age_ms={}",
                   entries ? "backend_entries" : "operator_documents", age_on_wire(age));
@@ -240,7 +240,7 @@
 bool store_news::is_stale(record_topic topic, time_point now) const {
     const view_age& view = topic == record_topic::backend_entries ? forwarding_.entries_view
                                                                   : forwarding_.documents_view;
-    return view.age(now) > times_of(topic).longest_view;
+    return view.age(now) > read_timing_of(topic).max_view_age;
 }
 
 void store_news::hear(const std::string& sender, std::int64_t stamp, const wire::StoreNewsT& news) {
@@ -264,13 +264,13 @@
 void store_news::take(const std::string& sender, const wire::StoreNewsT& news, time_point now) {
     const std::string& teller = news.teller.empty() ? sender : news.teller;
     if (const auto as_of = moment_of(news.entries_age_ms, now)) {
-        duty_.hear(teller, record_topic::backend_entries, *as_of);
+        duty_.record_view(teller, record_topic::backend_entries, *as_of);
     }
     // An instance of the version before tells of configurations only: its word doesn't keep this
     // one from reading what the operator says of failure domains.
     const auto documents_as_of = moment_of(news.documents_age_ms, now);
     if (documents_as_of && news.documents_sequence > 0) {
-        duty_.hear(teller, record_topic::operator_documents, *documents_as_of);
+        duty_.record_view(teller, record_topic::operator_documents, *documents_as_of);
     }
     state_.take_cordons(cordons_from_wire(news.cordoned, news.documents_sequence));
     spread_.hear_version(sender, news.configuration_version);
--- a/bamboostream/src/Gateway/store_news.h
+++ b/bamboostream/src/Gateway/store_news.h
@@ -24,12 +24,13 @@
 namespace bamboostream {
 
 /// What instances tell each other of the platform's store: that there is a newer configuration,
-/// backend servers, and how old the view of these is. Lives on one thread. See also `store_duty`.
+/// backend servers, and how old the view of these is. Lives on one thread. See also
+/// `store_read_policy`.
 class store_news final : public reading_plan {
 public:
     store_news(boost::asio::io_context& context, link_hub& links, membership_service& membership,
                forwarding_state& forwarding, deployment_state& state, store_follower& store,
-               store_duty& duty, configuration_spread& spread);
+               store_read_policy& duty, configuration_spread& spread);
 
     void start();
 
@@ -38,7 +39,7 @@
     bool awaits_others(record_topic topic, time_point now) const override;
     milliseconds read_wait(record_topic topic, time_point now) const override;
     bool must_read_configuration(time_point now) override;
-    reading_role role() const override;
+    store_read_role role() const override;
     /// The others are told how fresh this instance's view is.
     void note_answer() override;
     /// A change of the registry or the configuration, which the others are told when this instance
@@ -87,7 +88,7 @@
     forwarding_state& forwarding_;
     deployment_state& state_;
     store_follower& store_;
-    store_duty& duty_;
+    store_read_policy& duty_;
     configuration_spread& spread_;
     /// Changes that the others have not been told of.
     std::vector<registry_change> untold_;
--- a/test/platform/configuration_spread_test.cpp
+++ b/test/platform/configuration_spread_test.cpp
@@ -102,7 +102,7 @@
     peer_group group(domains, instances_a_domain, link_mbps);
     start(group);
     const std::vector<peer_instance*> order = group.owners("store");
-    for (std::size_t i = store_duty::readers; i < order.size(); ++i) {
+    for (std::size_t i = store_read_policy::reader_count; i < order.size(); ++i) {
         order[i]->store.turned_away = true;
     }
     group.run_for(milliseconds(100));
@@ -141,7 +141,7 @@
     for (const auto& it : group.all) {
         reads += it->store.whole_documents();
     }
-    EXPECT_LE(reads, static_cast<int>(store_duty::order_length));
+    EXPECT_LE(reads, static_cast<int>(store_read_policy::order_length));
 }
 
 // The store is being read for a version that others have told of, or one that has come is being
--- a/test/platform/peer_group.h
+++ b/test/platform/peer_group.h
@@ -69,7 +69,7 @@
     forwarding_state forwarding;
     deployment_state state;
     configuration_reader reader;
-    store_duty duty;
+    store_read_policy duty;
     shared_store store;
     store_follower follower;
     std::unique_ptr<membership_service> membership;
--- a/test/platform/store_follower_test.cpp
+++ b/test/platform/store_follower_test.cpp
@@ -61,7 +61,7 @@
     bool has_from_others(record_topic) const override { return false; }
     bool awaits_others(record_topic, time_point) const override { return false; }
     bool must_read_configuration(time_point) override { return false; }
-    reading_role role() const override { return reading_role::reader; }
+    store_read_role role() const override { return store_read_role::reader; }
     void note_answer() override {}
 };
 
--- a/test/platform/store_view_test.cpp
+++ b/test/platform/store_view_test.cpp
@@ -51,15 +51,15 @@
 // waiting for anybody to notice a failure.
 TEST_P(reading_duty, passes_to_the_next_when_views_grow_old) {
     const duty_row& row = GetParam();
-    store_duty duty;
-    const auto hear = [&](const std::string& teller, int age_ms) {
+    store_read_policy duty;
+    const auto record_view = [&](const std::string& teller, int age_ms) {
         if (age_ms >= 0) {
-            duty.hear(teller, entries, start - milliseconds(age_ms));
+            duty.record_view(teller, entries, start - milliseconds(age_ms));
         }
     };
-    hear("r1", row.first_reader_age);
-    hear("r2", row.second_reader_age);
-    hear("s1", row.substitute_age);
+    record_view("r1", row.first_reader_age);
+    record_view("r2", row.second_reader_age);
+    record_view("s1", row.substitute_age);
     EXPECT_EQ(duty.must_read(entries, common_order, row.self, start), row.must_read);
 }
 
@@ -67,25 +67,25 @@
 // record arrives as soon. When the first is silent the others go by the second's view, which must
 // not look old while all is well.
 TEST(store_duty_test, only_one_proves_all_the_time_that_the_store_answers) {
-    store_duty duty;
+    store_read_policy duty;
     const auto wait_of = [&](const char* self, int ms) {
         return duty.read_wait(entries, common_order, self, start + milliseconds(ms));
     };
-    EXPECT_EQ(wait_of("r2", 0), times_of(entries).wait);
-    duty.hear("r1", entries, start);
-    duty.hear("r2", entries, start);
-    EXPECT_EQ(wait_of("r1", 600), times_of(entries).wait);
+    EXPECT_EQ(wait_of("r2", 0), read_timing_of(entries).wait);
+    duty.record_view("r1", entries, start);
+    duty.record_view("r2", entries, start);
+    EXPECT_EQ(wait_of("r1", 600), read_timing_of(entries).wait);
     EXPECT_EQ(wait_of("r2", 600), relaxed_wait);
-    EXPECT_EQ(wait_of("r2", 700), times_of(entries).wait);
-    EXPECT_EQ(wait_of("s1", 700), times_of(entries).wait);
+    EXPECT_EQ(wait_of("r2", 700), read_timing_of(entries).wait);
+    EXPECT_EQ(wait_of("s1", 700), read_timing_of(entries).wait);
 }
 
 // A telling that was on its way for long says less than an earlier one; a topic says nothing of
 // another.
 TEST(store_duty_test, the_best_word_of_a_teller_holds_for_its_topic) {
-    store_duty duty;
-    duty.hear("r1", entries, start);
-    duty.hear("r1", entries, start - seconds(5));
+    store_read_policy duty;
+    duty.record_view("r1", entries, start);
+    duty.record_view("r1", entries, start - seconds(5));
     EXPECT_FALSE(duty.must_read(entries, common_order, "s1", start));
     EXPECT_TRUE(duty.must_read(documents, common_order, "s1", start));
 }
@@ -93,7 +93,7 @@
 /// Tries in a row that the store didn't answer, and the pause after them.
 struct pause_row {
     std::string name;
-    reading_role role;
+    store_read_role role;
     int failures;
     int pause_ms;
 };
@@ -102,21 +102,21 @@
 
 INSTANTIATE_TEST_SUITE_P(
     table, store_pause,
-    testing::Values(pause_row{"reader_first", reading_role::reader, 1, 250},
-                    pause_row{"reader_later", reading_role::reader, 40, 250},
-                    pause_row{"substitute_first", reading_role::substitute, 1, 500},
-                    pause_row{"substitute_later", reading_role::substitute, 40, 500},
-                    pause_row{"other_first", reading_role::other, 1, 700},
-                    pause_row{"other_second", reading_role::other, 2, 1'400},
-                    pause_row{"other_third", reading_role::other, 3, 2'800},
-                    pause_row{"other_much_later", reading_role::other, 1'000, 2'800}),
+    testing::Values(pause_row{"reader_first", store_read_role::reader, 1, 250},
+                    pause_row{"reader_later", store_read_role::reader, 40, 250},
+                    pause_row{"substitute_first", store_read_role::standby, 1, 500},
+                    pause_row{"substitute_later", store_read_role::standby, 40, 500},
+                    pause_row{"other_first", store_read_role::other, 1, 700},
+                    pause_row{"other_second", store_read_role::other, 2, 1'400},
+                    pause_row{"other_third", store_read_role::other, 3, 2'800},
+                    pause_row{"other_much_later", store_read_role::other, 1'000, 2'800}),
     [](const auto& info) { return info.param.name; });
 
 // The store is away for long. Those in the order go on trying and tell everybody of its return; the
 // others, whose calls would be refused and paid for, try ever more rarely.
 TEST_P(store_pause, only_those_in_the_order_try_often_while_the_store_is_away) {
     const pause_row& row = GetParam();
-    EXPECT_EQ(store_duty::pause_after_failure(row.role, row.failures), milliseconds(row.pause_ms));
+    EXPECT_EQ(store_read_policy::retry_delay(row.role, row.failures), milliseconds(row.pause_ms));
 }
 
 // --- how long the store's word takes
@@ -146,7 +146,7 @@
             // They begin at different moments of their reads.
             readers_.back().next = start + milliseconds(i * 37 % 300);
         }
-        const std::size_t length = std::min(names_.size(), store_duty::order_length);
+        const std::size_t length = std::min(names_.size(), store_read_policy::order_length);
         order_.assign(names_.begin(), names_.begin() + static_cast<std::ptrdiff_t>(length));
     }
 
@@ -167,7 +167,7 @@
 
 private:
     struct reader {
-        store_duty duty;
+        store_read_policy duty;
         time_point next;
         time_point began;
         milliseconds wait{0};
@@ -198,7 +198,7 @@
             r.began = now;
             r.wait = r.follows ? r.duty.read_wait(topic_, order_, names_[i], now) : milliseconds(0);
         } else if (now >= r.next) {
-            r.next = now + look_pause;
+            r.next = now + recheck_period;
             r.follows = false;
             r.failures = 0;
         }
@@ -207,7 +207,7 @@
     /// Another peer each time.
     void ask_when_stale(std::size_t i, time_point now) {
         reader& r = readers_[i];
-        if (now < r.next_question || now - r.known_until <= times_of(topic_).longest_view) {
+        if (now < r.next_question || now - r.known_until <= read_timing_of(topic_).max_view_age) {
             return;
         }
         r.next_question = now + question_period;
@@ -236,8 +236,8 @@
         } else if (row_.manner == treatment::refused || now >= r.began + r.wait + answer_timeout) {
             ++r.failures;
             finish(i, now,
-                   store_duty::pause_after_failure(store_duty::role_of(order_, names_[i]),
-                                                   r.failures));
+                   store_read_policy::retry_delay(store_read_policy::role_of(order_, names_[i]),
+                                                  r.failures));
         }
     }
 
@@ -257,7 +257,7 @@
             return;
         }
         for (std::size_t other = 0; other < readers_.size(); ++other) {
-            readers_[other].duty.hear(names_[i], topic_, now);
+            readers_[other].duty.record_view(names_[i], topic_, now);
             readers_[other].known_until = now;
             if (readers_[i].learned) {
                 learn(other, now + milliseconds(2));
@@ -326,8 +326,8 @@
 
 // Callers may count on two seconds for both topics, a busy processor and the sending included.
 TEST(learning_budget_test, the_sum_of_all_waits_leaves_half_a_second) {
-    EXPECT_LE(longest_learning(entries), milliseconds(1'200));
-    EXPECT_LE(longest_learning(documents), milliseconds(1'500));
+    EXPECT_LE(max_propagation_time(entries), milliseconds(1'200));
+    EXPECT_LE(max_propagation_time(documents), milliseconds(1'500));
 }
 
 // --- whose word holds
