--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -146,7 +146,7 @@
                                                       self, membership_service::timing{}, seed);
     spread = std::make_unique<configuration_spread>(context, links, *membership, state);
     spread->set_link_speed(settings.link_mbps);
-    spread->pause_while([this] { return store.fetches_configuration(); });
+    spread->pause_while([this] { return store.is_reading_configuration(); });
     news = std::make_unique<store_news>(context, links, *membership, forwarding, state, store, duty,
                                         *spread);
     owner = std::make_unique<pool_owner>(links, *membership, forwarding);
--- a/bamboostream/src/Gateway/gateway_metrics.cpp
+++ b/bamboostream/src/Gateway/gateway_metrics.cpp
@@ -21,7 +21,7 @@
     return static_cast<std::uint64_t>(to_milliseconds(std::min(age, longest)));
 }
 
-void append_store_calls(std::string& out, const store_calls& calls) {
+void append_store_calls(std::string& out, const store_call_counts& calls) {
     out += "# TYPE bamboostream_store_calls_total counter\n";
     // The first reason is that none is made.
     for (std::size_t i = 1; i < calls.size(); ++i) {
--- a/bamboostream/src/Gateway/gateway_metrics.h
+++ b/bamboostream/src/Gateway/gateway_metrics.h
@@ -18,7 +18,7 @@
     std::uint64_t configurations_rejected = 0;
     std::uint64_t configurations_encoded = 0;
     document_fetch::verdicts configuration_pieces{};
-    store_calls calls_to_store{};
+    store_call_counts calls_to_store{};
     link_traffic links;
 };
 
--- a/bamboostream/src/Gateway/store_follower.cpp
+++ b/bamboostream/src/Gateway/store_follower.cpp
@@ -31,7 +31,7 @@
     return names.at(static_cast<std::size_t>(reason));
 }
 
-void store_follower::start(reading_plan& plan) {
+void store_follower::start(read_coordinator& plan) {
     plan_ = &plan;
     asio::co_spawn(context_, follow(documents_), asio::detached);
     asio::co_spawn(context_, follow(entries_), asio::detached);
@@ -44,7 +44,7 @@
     return documents_.failing_since ? documents_.failing_since : entries_.failing_since;
 }
 
-duration store_follower::own_age(record_topic topic, time_point now) const {
+duration store_follower::own_view_age(record_topic topic, time_point now) const {
     const topic_position& position =
         topic == record_topic::operator_documents ? documents_ : entries_;
     return position.own_view.age(now);
@@ -52,15 +52,15 @@
 
 read_reason store_follower::reason_to_read(const topic_position& position) const {
     const time_point now = monotonic_now();
-    if (!position.read_before && !plan_->has_from_others(position.topic)) {
-        return plan_->awaits_others(position.topic, now) ? read_reason::none : read_reason::start;
+    if (!position.read_before && !plan_->has_topic_from_peers(position.topic)) {
+        return plan_->awaits_peers(position.topic, now) ? read_reason::none : read_reason::start;
     }
     if (plan_->must_read(position.topic, now)) {
         return plan_->role() == store_read_role::reader ? read_reason::duty
-                                                        : read_reason::old_views;
+                                                        : read_reason::stale_views;
     }
     if (position.topic == record_topic::backend_entries) {
-        return entries_wanted_ ? read_reason::missed_changes : read_reason::none;
+        return entries_reread_requested_ ? read_reason::missed_changes : read_reason::none;
     }
     return plan_->must_read_configuration(now) ? read_reason::configuration : read_reason::none;
 }
@@ -83,14 +83,14 @@
             // What comes meanwhile is told by others; the position here is out of date.
             position.next.reset();
             failures = 0;
-            note_answer(position, true, {});
+            on_store_answer(position, true, {});
             co_await pause_for(recheck_period);
             continue;
         }
         ++calls_[static_cast<std::size_t>(reason)];
-        position.asking = true;
+        position.reading = true;
         const bool answered = co_await advance(position);
-        position.asking = false;
+        position.reading = false;
         position.read_before = position.read_before || answered;
         failures = answered ? 0 : failures + 1;
         co_await pause_for(answered ? pause_between_reads
@@ -111,10 +111,10 @@
         page = co_await store_.read(position.topic, *position.next, wait, why);
     }
     const bool answered = page || why.code == store_error::gap;
-    note_answer(position, answered, why);
+    on_store_answer(position, answered, why);
     if (page) {
         take(position, *page, all, known_before);
-        plan_->note_answer();
+        plan_->on_store_answer();
     } else if (why.code == store_error::gap) {
         position.next.reset();
     }
@@ -153,11 +153,11 @@
     }
     state_.entries().caught_up(page.next);
     state_.take_records(position.topic, fresh, all, now);
-    entries_wanted_ = false;
+    entries_reread_requested_ = false;
 }
 
-void store_follower::note_answer(topic_position& position, bool answered,
-                                 const store_failure& why) {
+void store_follower::on_store_answer(topic_position& position, bool answered,
+                                     const store_failure& why) {
     const time_point now = monotonic_now();
     if (answered && position.failing_since) {
         log_event(events::store_available, "topic={} away_ms={:.0f}", name_of(position.topic),
--- a/bamboostream/src/Gateway/store_follower.h
+++ b/bamboostream/src/Gateway/store_follower.h
@@ -13,21 +13,21 @@
 namespace bamboostream {
 
 /// What reading the store needs to know of the other instances.
-class reading_plan {
+class read_coordinator {
 public:
-    virtual ~reading_plan() = default;
+    virtual ~read_coordinator() = default;
     /// Whether this instance must read the topic itself.
     virtual bool must_read(record_topic topic, time_point now) const = 0;
     /// At the start: whether the others hand on what the topic holds, or may yet do so.
-    virtual bool has_from_others(record_topic topic) const = 0;
-    virtual bool awaits_others(record_topic topic, time_point now) const = 0;
+    virtual bool has_topic_from_peers(record_topic topic) const = 0;
+    virtual bool awaits_peers(record_topic topic, time_point now) const = 0;
     /// How long a read of the topic may wait for a record.
     virtual milliseconds read_wait(record_topic topic, time_point now) const = 0;
     /// Whether a configuration was told of that the other instances don't hand on.
     virtual bool must_read_configuration(time_point now) = 0;
     virtual store_read_role role() const = 0;
     /// The store has answered this instance.
-    virtual void note_answer() = 0;
+    virtual void on_store_answer() = 0;
 };
 
 /// Why an instance reads a topic of the store, or that it needn't.
@@ -39,7 +39,7 @@
     /// It is one of those that read for all.
     duty,
     /// Nobody before it in the order tells of a fresh view.
-    old_views,
+    stale_views,
     /// It has missed changes that were told.
     missed_changes,
     /// A configuration was told of that no peer has handed on.
@@ -51,7 +51,7 @@
 std::string_view to_string(read_reason reason);
 
 /// Calls to the store, by their reason.
-using store_calls = std::array<std::uint64_t, static_cast<std::size_t>(read_reason::count_)>;
+using store_call_counts = std::array<std::uint64_t, static_cast<std::size_t>(read_reason::count_)>;
 
 /// Follows the topics of the platform's store and keeps the deployment state up to date, while it
 /// is this instance's duty. See also `store_read_policy`.
@@ -61,21 +61,21 @@
         : context_(context), store_(store), state_(state) {}
 
     /// `plan` must live as long as the follower.
-    void start(reading_plan& plan);
+    void start(read_coordinator& plan);
     /// Reads all entries once, also when others read for this instance.
-    void read_entries_again() { entries_wanted_ = true; }
+    void request_entries_reread() { entries_reread_requested_ = true; }
     /// How long ago the store last told this instance itself what the topic holds.
-    duration own_age(record_topic topic, time_point now) const;
+    duration own_view_age(record_topic topic, time_point now) const;
     /// Whether this instance's own reads of the topic tell what the store says now.
-    bool reads_well(record_topic topic, time_point now) const {
-        return own_age(topic, now) <= read_timing_of(topic).max_view_age;
+    bool has_fresh_own_view(record_topic topic, time_point now) const {
+        return own_view_age(topic, now) <= read_timing_of(topic).max_view_age;
     }
     /// A configuration that was told of is being read from the store.
-    bool fetches_configuration() const {
-        return documents_.asking && documents_.reason == read_reason::configuration;
+    bool is_reading_configuration() const {
+        return documents_.reading && documents_.reason == read_reason::configuration;
     }
     /// Calls of this instance since its start, of both topics.
-    const store_calls& calls() const { return calls_; }
+    const store_call_counts& calls() const { return calls_; }
     /// Since when a topic could not be read; nothing while all can be.
     std::optional<time_point> failing_since() const;
 
@@ -88,7 +88,7 @@
         /// By this instance's own reads.
         view_age own_view{};
         bool read_before = false;
-        bool asking = false;
+        bool reading = false;
         read_reason reason = read_reason::none;
     };
     boost::asio::awaitable<void> follow(topic_position& position);
@@ -96,16 +96,16 @@
     void note_reason(topic_position& position, read_reason reason);
     /// False when the store didn't answer.
     boost::asio::awaitable<bool> advance(topic_position& position);
-    void note_answer(topic_position& position, bool answered, const store_failure& why);
+    void on_store_answer(topic_position& position, bool answered, const store_failure& why);
     void take(topic_position& position, const record_page& page, bool all,
               std::int64_t known_before);
 
     boost::asio::io_context& context_;
     record_store& store_;
     deployment_state& state_;
-    reading_plan* plan_ = nullptr;
-    bool entries_wanted_ = false;
-    store_calls calls_{};
+    read_coordinator* plan_ = nullptr;
+    bool entries_reread_requested_ = false;
+    store_call_counts calls_{};
     topic_position documents_{.topic = record_topic::operator_documents};
     topic_position entries_{.topic = record_topic::backend_entries};
 };
--- a/bamboostream/src/Gateway/store_news.cpp
+++ b/bamboostream/src/Gateway/store_news.cpp
@@ -71,7 +71,7 @@
     return duty_.must_read(topic, reading_order(), membership_.own_address(), now);
 }
 
-bool store_news::has_from_others(record_topic topic) const {
+bool store_news::has_topic_from_peers(record_topic topic) const {
     return topic == record_topic::operator_documents && state_.version() > 0 &&
            state_.cordons().position > 0;
 }
@@ -79,7 +79,7 @@
 /// A start of all would have every instance read the configuration at the same moment, whole, which
 /// keeps the links of small ones and the store busy while callers wait. From another instance it
 /// comes compressed, and only those that read for all ask the store.
-bool store_news::awaits_others(record_topic topic, time_point now) const {
+bool store_news::awaits_peers(record_topic topic, time_point now) const {
     if (topic != record_topic::operator_documents) {
         return false;
     }
@@ -105,7 +105,7 @@
     return store_read_policy::role_of(reading_order(), membership_.own_address());
 }
 
-void store_news::note_answer() {
+void store_news::on_store_answer() {
     if (monotonic_now() - told_at_ >= news_gather) {
         due_.cancel();
     }
@@ -138,19 +138,19 @@
     const time_point now = monotonic_now();
     // Without the store, whoever found out that an engine leaves tells it.
     const bool found_out = !changes.empty() && forwarding_.registry.store_away();
-    const bool reads = store_.reads_well(record_topic::backend_entries, now) ||
-                       store_.reads_well(record_topic::operator_documents, now);
+    const bool reads = store_.has_fresh_own_view(record_topic::backend_entries, now) ||
+                       store_.has_fresh_own_view(record_topic::operator_documents, now);
     if (!(reads && role() != store_read_role::other) && !found_out) {
         return;
     }
     told_at_ = now;
     wire::StoreNewsT news;
-    news.fresh = store_.reads_well(record_topic::backend_entries, now);
+    news.fresh = store_.has_fresh_own_view(record_topic::backend_entries, now);
     news.configuration_version = state_.version();
     news.previous = static_cast<std::uint64_t>(previous);
     news.sequence = static_cast<std::uint64_t>(told_position_);
-    news.entries_age_ms = age_on_wire(store_.own_age(record_topic::backend_entries, now));
-    news.documents_age_ms = age_on_wire(store_.own_age(record_topic::operator_documents, now));
+    news.entries_age_ms = age_on_wire(store_.own_view_age(record_topic::backend_entries, now));
+    news.documents_age_ms = age_on_wire(store_.own_view_age(record_topic::operator_documents, now));
     if (changes.size() > most_changes_told) {
         // Says that there is more than it tells: whoever knows less asks for the list, by pages.
         news.previous = news.sequence;
@@ -311,13 +311,13 @@
 
 /// A telling was missed. Who follows the store itself finds what it was about there.
 void store_news::fill_gap(const std::string& teller, time_point now) {
-    if (store_.reads_well(record_topic::backend_entries, now)) {
+    if (store_.has_fresh_own_view(record_topic::backend_entries, now)) {
         return;
     }
     if (store_.failing_since()) {
         asio::co_spawn(context_, ask_backends(teller), asio::detached);
     } else {
-        store_.read_entries_again();
+        store_.request_entries_reread();
     }
 }
 
--- a/bamboostream/src/Gateway/store_news.h
+++ b/bamboostream/src/Gateway/store_news.h
@@ -26,7 +26,7 @@
 /// What instances tell each other of the platform's store: that there is a newer configuration,
 /// backend servers, and how old the view of these is. Lives on one thread. See also
 /// `store_read_policy`.
-class store_news final : public reading_plan {
+class store_news final : public read_coordinator {
 public:
     store_news(boost::asio::io_context& context, link_hub& links, membership_service& membership,
                forwarding_state& forwarding, deployment_state& state, store_follower& store,
@@ -35,13 +35,13 @@
     void start();
 
     bool must_read(record_topic topic, time_point now) const override;
-    bool has_from_others(record_topic topic) const override;
-    bool awaits_others(record_topic topic, time_point now) const override;
+    bool has_topic_from_peers(record_topic topic) const override;
+    bool awaits_peers(record_topic topic, time_point now) const override;
     milliseconds read_wait(record_topic topic, time_point now) const override;
     bool must_read_configuration(time_point now) override;
     store_read_role role() const override;
     /// The others are told how fresh this instance's view is.
-    void note_answer() override;
+    void on_store_answer() override;
     /// A change of the registry or the configuration, which the others are told when this instance
     /// reads for them.
     void note_change(const registry_change& change);
--- a/test/platform/peer_group.cpp
+++ b/test/platform/peer_group.cpp
@@ -90,7 +90,7 @@
         stable_hash(self.id.address));
     spread = std::make_unique<configuration_spread>(context, links, *membership, state);
     spread->set_link_speed(link_mbps);
-    spread->pause_while([this] { return follower.fetches_configuration(); });
+    spread->pause_while([this] { return follower.is_reading_configuration(); });
     news = std::make_unique<store_news>(context, links, *membership, forwarding, state, follower,
                                         duty, *spread);
     state.read_beside(reader);
--- a/test/platform/store_follower_test.cpp
+++ b/test/platform/store_follower_test.cpp
@@ -54,15 +54,15 @@
     bool has_page_on_the_way_ = false;
 };
 
-class sole_reader final : public reading_plan {
+class sole_reader final : public read_coordinator {
 public:
     bool must_read(record_topic, time_point) const override { return true; }
     milliseconds read_wait(record_topic, time_point) const override { return milliseconds(5); }
-    bool has_from_others(record_topic) const override { return false; }
-    bool awaits_others(record_topic, time_point) const override { return false; }
+    bool has_topic_from_peers(record_topic) const override { return false; }
+    bool awaits_peers(record_topic, time_point) const override { return false; }
     bool must_read_configuration(time_point) override { return false; }
     store_read_role role() const override { return store_read_role::reader; }
-    void note_answer() override {}
+    void on_store_answer() override {}
 };
 
 class store_follower_test : public testing::Test {
