--- a/bamboostream/src/Gateway/change_follower.cpp
+++ b/bamboostream/src/Gateway/change_cursor.cpp
@@ -1,13 +1,13 @@
-#include "bamboostream/src/Gateway/change_follower.h"
+#include "bamboostream/src/Gateway/change_cursor.h"
 
 namespace bamboostream {
 
-change_follower::verdict change_follower::judge(std::int64_t previous, std::int64_t next) {
+change_cursor::verdict change_cursor::evaluate(std::int64_t previous, std::int64_t next) {
     if (next <= position_) {
         return verdict::known;
     }
     if (previous > position_) {
-        return verdict::ask_for_all;
+        return verdict::resync;
     }
     position_ = next;
     return verdict::apply;
--- a/bamboostream/src/Gateway/change_follower.h
+++ b/bamboostream/src/Gateway/change_cursor.h
@@ -10,20 +10,20 @@
 /// what any reader tells, without asking for everything first. When each instance asked its readers
 /// for all entries after a start, 100 instances with 1,000 engines did not serve again within 30 s,
 /// and the busiest instance held 102 MB.
-class change_follower {
+class change_cursor {
 public:
-    enum class verdict : std::uint8_t { apply, known, ask_for_all };
+    enum class verdict : std::uint8_t { apply, known, resync };
     /// What to do with the changes between the positions `previous` and `next`. After `apply` they
     /// count as known.
-    verdict judge(std::int64_t previous, std::int64_t next);
+    verdict evaluate(std::int64_t previous, std::int64_t next);
     /// Whether a removal that a reader tells at position `next` holds here. A reader gives up a
     /// server whose entry lapsed in an outage some time after the last record, so such a removal
     /// moves no position. An instance that doesn't hear of it keeps
     /// engines that have gone: they look idle, and generations are refused after connections in
     /// vain.
-    bool removal_holds(std::int64_t next) const { return next >= position_; }
+    bool accepts_removal(std::int64_t next) const { return next >= position_; }
     /// Everything up to `position` is known.
-    void caught_up(std::int64_t position) { position_ = position; }
+    void set_position(std::int64_t position) { position_ = position; }
     std::int64_t position() const { return position_; }
 
 private:
--- a/bamboostream/src/Gateway/deployment_state.cpp
+++ b/bamboostream/src/Gateway/deployment_state.cpp
@@ -226,7 +226,7 @@
     }
     const bool knows_nothing = forwarding_.registry.empty() && entries_.position() == 0;
     if (!entries.empty() && (position > entries_.position() || knows_nothing)) {
-        entries_.caught_up(position);
+        entries_.set_position(position);
         forwarding_.registry.learn_from_peer(entries, now);
     }
     report_changes(fact_source::peer_list, now);
--- a/bamboostream/src/Gateway/deployment_state.h
+++ b/bamboostream/src/Gateway/deployment_state.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bamboostream/src/Forwarding/forwarding_state.h"
-#include "bamboostream/src/Gateway/change_follower.h"
+#include "bamboostream/src/Gateway/change_cursor.h"
 #include "bamboostream/src/Gateway/configuration_reader.h"
 #include "bamboostream/src/Gateway/deployment_contract.h"
 
@@ -77,8 +77,8 @@
     void report_changes(fact_source source, time_point now);
 
     /// How far the entries of the store are known here.
-    change_follower& entries() { return entries_; }
-    const change_follower& entries() const { return entries_; }
+    change_cursor& entries() { return entries_; }
+    const change_cursor& entries() const { return entries_; }
     const cordoned_domains& cordons() const { return cordons_; }
     /// The position in the topic up to which what it says is known here.
     std::int64_t position(record_topic topic) const {
@@ -117,7 +117,7 @@
     /// The first is being read.
     std::deque<unread_document> unread_;
     std::shared_ptr<const std::string> document_;
-    change_follower entries_;
+    change_cursor entries_;
     cordoned_domains cordons_;
     /// Keys of documents that have been logged as unknown.
     std::set<std::string> unknown_keys_;
--- a/bamboostream/src/Gateway/store_follower.cpp
+++ b/bamboostream/src/Gateway/store_follower.cpp
@@ -151,7 +151,7 @@
         state_.take_cordon_records(fresh, all, page.next);
         return;
     }
-    state_.entries().caught_up(page.next);
+    state_.entries().set_position(page.next);
     state_.take_records(position.topic, fresh, all, now);
     entries_reread_requested_ = false;
 }
--- a/bamboostream/src/Gateway/store_news.cpp
+++ b/bamboostream/src/Gateway/store_news.cpp
@@ -284,17 +284,17 @@
         }
     }
     state_.report_changes(fact_source::telling, now);
-    const auto verdict = state_.entries().judge(static_cast<std::int64_t>(news.previous),
-                                                static_cast<std::int64_t>(news.sequence));
+    const auto verdict = state_.entries().evaluate(static_cast<std::int64_t>(news.previous),
+                                                   static_cast<std::int64_t>(news.sequence));
     note_ages(news, now);
     switch (verdict) {
-    case change_follower::verdict::known:
+    case change_cursor::verdict::known:
         forget_removed(news, now);
         return;
-    case change_follower::verdict::ask_for_all:
+    case change_cursor::verdict::resync:
         fill_gap(sender, now);
         return;
-    case change_follower::verdict::apply:
+    case change_cursor::verdict::apply:
         break;
     }
     for (const auto& fact : news.changed) {
@@ -322,7 +322,7 @@
 }
 
 void store_news::forget_removed(const wire::StoreNewsT& news, time_point now) {
-    if (!state_.entries().removal_holds(static_cast<std::int64_t>(news.sequence))) {
+    if (!state_.entries().accepts_removal(static_cast<std::int64_t>(news.sequence))) {
         return;
     }
     std::map<std::string, const wire::BackendFactT*> last;
--- a/test/platform/store_follower_test.cpp
+++ b/test/platform/store_follower_test.cpp
@@ -78,8 +78,8 @@
 
     /// Another instance tells that the server is gone at that position.
     void tell_gone(const std::string& id, std::int64_t position) {
-        ASSERT_EQ(state_.entries().judge(state_.entries().position(), position),
-                  change_follower::verdict::apply);
+        ASSERT_EQ(state_.entries().evaluate(state_.entries().position(), position),
+                  change_cursor::verdict::apply);
         forwarding_.registry.forget(backend_id(id));
     }
 
@@ -108,7 +108,7 @@
 TEST_F(store_follower_test, a_list_that_a_telling_has_overtaken_brings_nothing_back) {
     store_.log_ = {entry_of("a"), entry_of("b")};
     store_.newest_ = store_.log_;
-    state_.entries().caught_up(2);
+    state_.entries().set_position(2);
     follower_.start(plan_);
     run_for(milliseconds(5));
     store_.log_.push_back({"a", ""});
@@ -157,7 +157,7 @@
     while (!store_.has_page_on_the_way_) {
         run_for(milliseconds(1));
     }
-    ASSERT_EQ(state_.entries().judge(1, 3), change_follower::verdict::apply);
+    ASSERT_EQ(state_.entries().evaluate(1, 3), change_cursor::verdict::apply);
     run_for(milliseconds(150));
     EXPECT_TRUE(gone.empty());
     EXPECT_NE(forwarding_.registry.find(backend_id("c")), nullptr);
@@ -168,7 +168,7 @@
 TEST_F(store_follower_test, a_store_that_went_back_is_believed) {
     store_.log_ = {entry_of("b")};
     store_.newest_ = store_.log_;
-    state_.entries().caught_up(40);
+    state_.entries().set_position(40);
     follower_.start(plan_);
     run_for(milliseconds(60));
     EXPECT_NE(forwarding_.registry.find(backend_id("b")), nullptr);
--- a/test/platform/store_view_test.cpp
+++ b/test/platform/store_view_test.cpp
@@ -346,7 +346,7 @@
 protected:
     known_servers()
         : forwarding_(requests_, failure_domain_id("z"), {}, 1), state_(forwarding_, records_) {
-        state_.entries().caught_up(10);
+        state_.entries().set_position(10);
         for (const char* id : {"a", "b"}) {
             forwarding_.registry.learn(backend(id), start);
         }
@@ -466,32 +466,32 @@
 // A telling is lost. Applying later ones would leave out the lost change for good: a server that
 // leaves would get work until it is gone. The gap shows in the positions, and all entries are asked
 // for. Whoever has read the store itself goes on with what any reader tells.
-TEST(change_follower_test, asks_for_all_after_a_gap) {
-    using verdict = change_follower::verdict;
-    change_follower follower;
-    EXPECT_EQ(follower.judge(2, 3), verdict::ask_for_all);
-    follower.caught_up(3);
-    EXPECT_EQ(follower.judge(3, 5), verdict::apply);
-    EXPECT_EQ(follower.judge(5, 5), verdict::known);
-    EXPECT_EQ(follower.judge(6, 7), verdict::ask_for_all);
+TEST(change_cursor_test, asks_for_all_after_a_gap) {
+    using verdict = change_cursor::verdict;
+    change_cursor follower;
+    EXPECT_EQ(follower.evaluate(2, 3), verdict::resync);
+    follower.set_position(3);
+    EXPECT_EQ(follower.evaluate(3, 5), verdict::apply);
+    EXPECT_EQ(follower.evaluate(5, 5), verdict::known);
+    EXPECT_EQ(follower.evaluate(6, 7), verdict::resync);
     // Another reader, whose tellings begin elsewhere.
-    EXPECT_EQ(follower.judge(4, 6), verdict::apply);
-    EXPECT_EQ(follower.judge(2, 6), verdict::known);
-    EXPECT_EQ(follower.judge(7, 8), verdict::ask_for_all);
-    follower.caught_up(9);
-    EXPECT_EQ(follower.judge(7, 8), verdict::known);
+    EXPECT_EQ(follower.evaluate(4, 6), verdict::apply);
+    EXPECT_EQ(follower.evaluate(2, 6), verdict::known);
+    EXPECT_EQ(follower.evaluate(7, 8), verdict::resync);
+    follower.set_position(9);
+    EXPECT_EQ(follower.evaluate(7, 8), verdict::known);
     EXPECT_EQ(follower.position(), 9);
 }
 
 // A reader gives up a server for whose entry it has waited; no record came with that, so the
 // position stays. Who knows no later record than the reader must give it up too; who knows later
 // ones may have seen the server register again.
-TEST(change_follower_test, a_removal_without_a_record_holds_unless_later_records_are_known) {
-    change_follower follower;
-    follower.caught_up(5);
-    EXPECT_TRUE(follower.removal_holds(5));
-    EXPECT_TRUE(follower.removal_holds(6));
-    EXPECT_FALSE(follower.removal_holds(4));
+TEST(change_cursor_test, a_removal_without_a_record_holds_unless_later_records_are_known) {
+    change_cursor follower;
+    follower.set_position(5);
+    EXPECT_TRUE(follower.accepts_removal(5));
+    EXPECT_TRUE(follower.accepts_removal(6));
+    EXPECT_FALSE(follower.accepts_removal(4));
 }
 
 } // namespace
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -71,7 +71,7 @@
      "if (state_.registry.store_away() && state_.routes) {", "if (false) {"),
     ("two readers of the store", "Gateway/store_read_policy.h",
      "static constexpr std::size_t reader_count = 2;", "static constexpr std::size_t reader_count = 999;"),
-    ("removals that readers conclude", "Gateway/change_follower.h",
+    ("removals that readers conclude", "Gateway/change_cursor.h",
      "return next >= position_;", "return next > position_ && next < 0;"),
     ("further sends", "Forwarding/attempt_policy.cpp",
      "return repeats != repeat_rule::once || (nothing_ran && !history.may_have_run);",
