--- a/bamboostream/src/Gateway/telling_delay.h
+++ b/bamboostream/src/Gateway/announcement_delay.h
@@ -18,23 +18,23 @@
 /// they are apart doesn't change, so what the difference exceeds its least value by is time under
 /// way.
 ///
-/// Example: `as_of -= delay.beyond_least(teller, stamp, told_at, machine_now());`
-class telling_delay {
+/// Example: `as_of -= delay.excess_over_min(teller, stamp, told_at, machine_now());`
+class announcement_delay {
 public:
     /// The least difference is looked for among those of the last two spans of this length. A clock
     /// that drifts by 100 in a million misleads by 6 ms.
-    static constexpr seconds span{60};
+    static constexpr seconds window{60};
 
     /// `told_at` is the teller's clock when it told, `heard_at` this machine's now. Zero for the
     /// first telling of a life of the teller, which is named by its address and start stamp.
-    milliseconds beyond_least(const std::string& teller, std::int64_t stamp, milliseconds told_at,
-                              milliseconds heard_at);
+    milliseconds excess_over_min(const std::string& teller, std::int64_t stamp,
+                                 milliseconds told_at, milliseconds heard_at);
 
 private:
     struct differences {
-        milliseconds span_began{};
-        milliseconds least{};
-        std::optional<milliseconds> least_before;
+        milliseconds window_start{};
+        milliseconds current_min{};
+        std::optional<milliseconds> previous_min;
     };
     std::map<std::string, std::pair<std::int64_t, differences>> by_teller_;
 };
--- a/bamboostream/src/Gateway/store_news.cpp
+++ b/bamboostream/src/Gateway/store_news.cpp
@@ -253,8 +253,8 @@
         take(sender, news, monotonic_now());
         return;
     }
-    const milliseconds late = delays_.beyond_least(teller, relayed ? news.teller_stamp : stamp,
-                                                   milliseconds(news.told_at_ms), machine_now());
+    const milliseconds late = delays_.excess_over_min(teller, relayed ? news.teller_stamp : stamp,
+                                                      milliseconds(news.told_at_ms), machine_now());
     wire::StoreNewsT aged = news;
     aged.entries_age_ms = older(news.entries_age_ms, late);
     aged.documents_age_ms = older(news.documents_age_ms, late);
--- a/bamboostream/src/Gateway/store_news.h
+++ b/bamboostream/src/Gateway/store_news.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "bamboostream/src/Control/membership_service.h"
+#include "bamboostream/src/Gateway/announcement_delay.h"
 #include "bamboostream/src/Gateway/configuration_spread.h"
 #include "bamboostream/src/Gateway/store_follower.h"
-#include "bamboostream/src/Gateway/telling_delay.h"
 #include "bamboostream/src/Links/link.h"
 
 #include <boost/asio/awaitable.hpp>
@@ -97,7 +97,7 @@
     time_point told_at_{};
     /// A peer has been asked for all its entries; more answers would only fill the links.
     bool asking_for_all_ = false;
-    telling_delay delays_;
+    announcement_delay delays_;
     bool entries_stale_ = true;
     bool documents_stale_ = true;
     boost::asio::steady_timer due_;
--- a/test/platform/telling_delay_test.cpp
+++ b/test/platform/announcement_delay_test.cpp
@@ -19,12 +19,12 @@
     friend void PrintTo(const telling_row& row, std::ostream* out) { *out << row.name; }
 };
 
-class telling_delay_test : public testing::TestWithParam<telling_row> {};
+class announcement_delay_test : public testing::TestWithParam<telling_row> {};
 
 using ms = milliseconds;
 
 INSTANTIATE_TEST_SUITE_P(
-    table, telling_delay_test,
+    table, announcement_delay_test,
     testing::Values(
         telling_row{"first_one", {{ms(0), ms(5'000)}}, ms(0)},
         telling_row{"steady", {{ms(0), ms(3)}, {ms(300), ms(3)}}, ms(0)},
@@ -39,30 +39,30 @@
 
 // A relay freezes with tellings in its buffers and hands them on when it wakes. An instance that
 // took them as fresh would believe for as long as that what has changed since.
-TEST_P(telling_delay_test, time_under_way_counts) {
-    telling_delay delay;
+TEST_P(announcement_delay_test, time_under_way_counts) {
+    announcement_delay delay;
     milliseconds late{};
     for (const auto& [told, under_way] : GetParam().told_and_under_way) {
-        late = delay.beyond_least("reader", life, told, apart + told + under_way);
+        late = delay.excess_over_min("reader", life, told, apart + told + under_way);
     }
     EXPECT_EQ(late, GetParam().late);
 }
 
 // A teller that has started again counts from another moment.
 TEST(telling_delay_lives_test, each_life_of_a_teller_is_measured_anew) {
-    telling_delay delay;
-    delay.beyond_least("reader", life, ms(900'000), ms(1'000'000));
-    EXPECT_EQ(delay.beyond_least("reader", life + 1, ms(10), ms(1'000'300)), ms(0));
-    EXPECT_EQ(delay.beyond_least("other", life, ms(10), ms(1'000'300)), ms(0));
+    announcement_delay delay;
+    delay.excess_over_min("reader", life, ms(900'000), ms(1'000'000));
+    EXPECT_EQ(delay.excess_over_min("reader", life + 1, ms(10), ms(1'000'300)), ms(0));
+    EXPECT_EQ(delay.excess_over_min("other", life, ms(10), ms(1'000'300)), ms(0));
 }
 
 // A damaged telling says any moment. It counts as old at worst, and the next good one is right.
 TEST(telling_delay_lives_test, an_absurd_clock_does_no_harm) {
-    telling_delay delay;
-    delay.beyond_least("reader", life, ms(1'000), ms(2'000));
-    EXPECT_GE(delay.beyond_least("reader", life, milliseconds::min(), ms(2'300)), ms(0));
-    EXPECT_EQ(delay.beyond_least("reader", life, ms(1'600), ms(2'600)), ms(0));
-    EXPECT_EQ(delay.beyond_least("reader", life, milliseconds::max(), ms(2'900)), ms(0));
+    announcement_delay delay;
+    delay.excess_over_min("reader", life, ms(1'000), ms(2'000));
+    EXPECT_GE(delay.excess_over_min("reader", life, milliseconds::min(), ms(2'300)), ms(0));
+    EXPECT_EQ(delay.excess_over_min("reader", life, ms(1'600), ms(2'600)), ms(0));
+    EXPECT_EQ(delay.excess_over_min("reader", life, milliseconds::max(), ms(2'900)), ms(0));
 }
 
 } // namespace
