--- a/bamboostream/src/Gateway/change_cursor.cpp
+++ b/bamboostream/src/Gateway/change_cursor.cpp
@@ -2,15 +2,15 @@
 
 namespace bamboostream {
 
-change_cursor::verdict change_cursor::evaluate(std::int64_t previous, std::int64_t next) {
+change_cursor::change_action change_cursor::evaluate(std::int64_t previous, std::int64_t next) {
     if (next <= position_) {
-        return verdict::known;
+        return change_action::known;
     }
     if (previous > position_) {
-        return verdict::resync;
+        return change_action::resync;
     }
     position_ = next;
-    return verdict::apply;
+    return change_action::apply;
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Gateway/change_cursor.h
+++ b/bamboostream/src/Gateway/change_cursor.h
@@ -12,10 +12,10 @@
 /// and the busiest instance held 102 MB.
 class change_cursor {
 public:
-    enum class verdict : std::uint8_t { apply, known, resync };
+    enum class change_action : std::uint8_t { apply, known, resync };
     /// What to do with the changes between the positions `previous` and `next`. After `apply` they
     /// count as known.
-    verdict evaluate(std::int64_t previous, std::int64_t next);
+    change_action evaluate(std::int64_t previous, std::int64_t next);
     /// Whether a removal that a reader tells at position `next` holds here. A reader gives up a
     /// server whose entry lapsed in an outage some time after the last record, so such a removal
     /// moves no position. An instance that doesn't hear of it keeps
--- a/bamboostream/src/Gateway/quarantine_keeper.cpp
+++ b/bamboostream/src/Gateway/quarantine_keeper.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t writers = 2;
 /// Until a seed has answered, an instance doesn't know its peers.
 constexpr milliseconds first_contact{200};
-constexpr milliseconds retry_delay{1'000};
+constexpr milliseconds failure_backoff{1'000};
 constexpr std::chrono::hours idle_wait{1};
 
 bool is_among(const std::vector<std::string>& names, const std::string& name) {
@@ -104,7 +104,7 @@
             take(*records);
             co_return;
         }
-        co_await pause_for(retry_delay);
+        co_await pause_for(failure_backoff);
     }
 }
 
@@ -132,7 +132,7 @@
         if (co_await write(request)) {
             unwritten_.erase(request);
         } else {
-            co_await pause_for(retry_delay);
+            co_await pause_for(failure_backoff);
         }
     }
 }
--- a/bamboostream/src/Gateway/store_follower.cpp
+++ b/bamboostream/src/Gateway/store_follower.cpp
@@ -94,7 +94,7 @@
         position.read_before = position.read_before || answered;
         failures = answered ? 0 : failures + 1;
         co_await pause_for(answered ? pause_between_reads
-                                    : store_read_policy::retry_delay(plan_->role(), failures));
+                                    : store_read_policy::failure_backoff(plan_->role(), failures));
     }
 }
 
--- a/bamboostream/src/Gateway/store_news.cpp
+++ b/bamboostream/src/Gateway/store_news.cpp
@@ -284,17 +284,17 @@
         }
     }
     state_.report_changes(fact_source::telling, now);
-    const auto verdict = state_.entries().evaluate(static_cast<std::int64_t>(news.previous),
-                                                   static_cast<std::int64_t>(news.sequence));
+    const auto change_action = state_.entries().evaluate(static_cast<std::int64_t>(news.previous),
+                                                         static_cast<std::int64_t>(news.sequence));
     note_ages(news, now);
-    switch (verdict) {
-    case change_cursor::verdict::known:
+    switch (change_action) {
+    case change_cursor::change_action::known:
         forget_removed(news, now);
         return;
-    case change_cursor::verdict::resync:
+    case change_cursor::change_action::resync:
         fill_gap(sender, now);
         return;
-    case change_cursor::verdict::apply:
+    case change_cursor::change_action::apply:
         break;
     }
     for (const auto& fact : news.changed) {
--- a/bamboostream/src/Gateway/store_read_policy.cpp
+++ b/bamboostream/src/Gateway/store_read_policy.cpp
@@ -50,7 +50,7 @@
     return is_covered(topic, order, self, times.max_view_age, now) ? relaxed_wait : times.wait;
 }
 
-milliseconds store_read_policy::retry_delay(store_read_role role, int failures) {
+milliseconds store_read_policy::failure_backoff(store_read_role role, int failures) {
     constexpr milliseconds reader_pause{250};
     constexpr milliseconds substitute_pause{500};
     constexpr milliseconds first_pause{700};
--- a/bamboostream/src/Gateway/store_read_policy.h
+++ b/bamboostream/src/Gateway/store_read_policy.h
@@ -94,7 +94,7 @@
     /// 15 s of outage, four times those of a calm day. Who reads for all goes on trying often and
     /// tells the others within 0.3 s of the store's return, so these may wait longer each time. A
     /// substitute may be the only one that the store serves again, and tries twice a second.
-    static milliseconds retry_delay(store_read_role role, int failures);
+    static milliseconds failure_backoff(store_read_role role, int failures);
 
 private:
     /// Whether somebody before `self` in the order, or anybody in it when `self` isn't, told of a
--- a/test/platform/store_follower_test.cpp
+++ b/test/platform/store_follower_test.cpp
@@ -79,7 +79,7 @@
     /// Another instance tells that the server is gone at that position.
     void tell_gone(const std::string& id, std::int64_t position) {
         ASSERT_EQ(state_.entries().evaluate(state_.entries().position(), position),
-                  change_cursor::verdict::apply);
+                  change_cursor::change_action::apply);
         forwarding_.registry.forget(backend_id(id));
     }
 
@@ -157,7 +157,7 @@
     while (!store_.has_page_on_the_way_) {
         run_for(milliseconds(1));
     }
-    ASSERT_EQ(state_.entries().evaluate(1, 3), change_cursor::verdict::apply);
+    ASSERT_EQ(state_.entries().evaluate(1, 3), change_cursor::change_action::apply);
     run_for(milliseconds(150));
     EXPECT_TRUE(gone.empty());
     EXPECT_NE(forwarding_.registry.find(backend_id("c")), nullptr);
--- a/test/platform/store_view_test.cpp
+++ b/test/platform/store_view_test.cpp
@@ -116,7 +116,8 @@
 // others, whose calls would be refused and paid for, try ever more rarely.
 TEST_P(store_pause, only_those_in_the_order_try_often_while_the_store_is_away) {
     const pause_row& row = GetParam();
-    EXPECT_EQ(store_read_policy::retry_delay(row.role, row.failures), milliseconds(row.pause_ms));
+    EXPECT_EQ(store_read_policy::failure_backoff(row.role, row.failures),
+              milliseconds(row.pause_ms));
 }
 
 // --- how long the store's word takes
@@ -236,8 +237,8 @@
         } else if (row_.manner == treatment::refused || now >= r.began + r.wait + answer_timeout) {
             ++r.failures;
             finish(i, now,
-                   store_read_policy::retry_delay(store_read_policy::role_of(order_, names_[i]),
-                                                  r.failures));
+                   store_read_policy::failure_backoff(store_read_policy::role_of(order_, names_[i]),
+                                                      r.failures));
         }
     }
 
@@ -467,19 +468,19 @@
 // leaves would get work until it is gone. The gap shows in the positions, and all entries are asked
 // for. Whoever has read the store itself goes on with what any reader tells.
 TEST(change_cursor_test, asks_for_all_after_a_gap) {
-    using verdict = change_cursor::verdict;
+    using change_action = change_cursor::change_action;
     change_cursor follower;
-    EXPECT_EQ(follower.evaluate(2, 3), verdict::resync);
+    EXPECT_EQ(follower.evaluate(2, 3), change_action::resync);
     follower.set_position(3);
-    EXPECT_EQ(follower.evaluate(3, 5), verdict::apply);
-    EXPECT_EQ(follower.evaluate(5, 5), verdict::known);
-    EXPECT_EQ(follower.evaluate(6, 7), verdict::resync);
+    EXPECT_EQ(follower.evaluate(3, 5), change_action::apply);
+    EXPECT_EQ(follower.evaluate(5, 5), change_action::known);
+    EXPECT_EQ(follower.evaluate(6, 7), change_action::resync);
     // Another reader, whose tellings begin elsewhere.
-    EXPECT_EQ(follower.evaluate(4, 6), verdict::apply);
-    EXPECT_EQ(follower.evaluate(2, 6), verdict::known);
-    EXPECT_EQ(follower.evaluate(7, 8), verdict::resync);
+    EXPECT_EQ(follower.evaluate(4, 6), change_action::apply);
+    EXPECT_EQ(follower.evaluate(2, 6), change_action::known);
+    EXPECT_EQ(follower.evaluate(7, 8), change_action::resync);
     follower.set_position(9);
-    EXPECT_EQ(follower.evaluate(7, 8), verdict::known);
+    EXPECT_EQ(follower.evaluate(7, 8), change_action::known);
     EXPECT_EQ(follower.position(), 9);
 }
 
