--- a/bamboostream/src/Gateway/configuration_spread.cpp
+++ b/bamboostream/src/Gateway/configuration_spread.cpp
@@ -26,23 +26,23 @@
 configuration_spread::configuration_spread(asio::io_context& context, link_hub& links,
                                            membership_service& membership, deployment_state& state)
     : context_(context), links_(links), membership_(membership), state_(state),
-      shelf_(document_shelf::most_served_over(0.0)), fetch_(stable_hash(membership.own_address())),
-      due_(context) {}
+      shelf_(document_provider::max_served_for_link(0.0)),
+      fetch_(stable_hash(membership.own_address())), due_(context) {}
 
 void configuration_spread::start() {
     asio::co_spawn(context_, ask_loop(), asio::detached);
 }
 
 void configuration_spread::set_link_speed(double megabits_a_second) {
-    shelf_.serve_at_most(document_shelf::most_served_over(megabits_a_second));
+    shelf_.set_max_served(document_provider::max_served_for_link(megabits_a_second));
 }
 
 void configuration_spread::follow_state() {
     if (state_.version() == shelf_.version()) {
         return;
     }
-    shelf_.put(state_.version(), state_.document());
-    fetch_.hold(shelf_.version(), shelf_.digest());
+    shelf_.set_document(state_.version(), state_.document());
+    fetch_.set_held(shelf_.version(), shelf_.digest());
 }
 
 asio::awaitable<void> configuration_spread::ask_loop() {
@@ -51,14 +51,14 @@
         const time_point now = monotonic_now();
         for (const member_facts& facts : membership_.members().others()) {
             if (facts.state == liveness::live) {
-                fetch_.hear(facts.id.address, facts.configuration_version, now);
+                fetch_.add_source(facts.id.address, facts.configuration_version, now);
             }
         }
         state_.note_told_configuration(fetch_.newest_known());
         const bool waits = being_read_ || store_is_read_();
         if (!waits) {
-            if (const auto question = fetch_.next(now)) {
-                links_.send(question->to, make_frame(to_wire(question->request)));
+            if (const auto outgoing_request = fetch_.next(now)) {
+                links_.send(outgoing_request->to, make_frame(to_wire(outgoing_request->request)));
             }
         }
         const time_point due = waits ? now + wait_period : fetch_.due(now);
@@ -69,7 +69,7 @@
 void configuration_spread::hear_version(const std::string& teller, std::int64_t version) {
     follow_state();
     const bool knew = fetch_.knows_of_newer();
-    fetch_.hear(teller, version, monotonic_now());
+    fetch_.add_source(teller, version, monotonic_now());
     state_.note_told_configuration(fetch_.newest_known());
     if (!knew && fetch_.knows_of_newer()) {
         due_.cancel();
@@ -91,12 +91,12 @@
 void configuration_spread::take(const wire::DocumentPieceT& piece, const std::string& sender) {
     follow_state();
     const std::int64_t version = piece.version;
-    const piece_verdict verdict = fetch_.take(from_wire(piece), sender, monotonic_now());
-    if (verdict == piece_verdict::unsound) {
+    const piece_result verdict = fetch_.take(from_wire(piece), sender, monotonic_now());
+    if (verdict == piece_result::invalid) {
         log_event(events::configuration_piece_dropped, "peer={} version={} reason={}", sender,
                   version, to_string(verdict));
     }
-    if (verdict == piece_verdict::complete) {
+    if (verdict == piece_result::complete) {
         finish(sender);
     }
     due_.cancel();
@@ -111,7 +111,7 @@
     if (!text) {
         log_event(events::configuration_piece_dropped, "peer={} version={} reason={}", sender,
                   encoded.version, why.text);
-        fetch_.ask_for_whole();
+        fetch_.request_full_document();
         return;
     }
     log_event(events::configuration_received,
@@ -126,17 +126,17 @@
 void configuration_spread::note_judged(const encoded_document& received, document_verdict verdict) {
     being_read_ = false;
     if (verdict == document_verdict::rejected) {
-        fetch_.refuse(received.version);
+        fetch_.reject(received.version);
     }
     follow_state();
-    shelf_.keep(received);
+    shelf_.cache_encoding(received);
     state_.note_told_configuration(fetch_.newest_known());
     due_.cancel();
 }
 
 bool configuration_spread::must_read_store(time_point now) {
     follow_state();
-    return !being_read_ && fetch_.is_stuck(now);
+    return !being_read_ && fetch_.is_stalled(now);
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Gateway/configuration_spread.h
+++ b/bamboostream/src/Gateway/configuration_spread.h
@@ -2,8 +2,8 @@
 
 #include "bamboostream/src/Control/membership_service.h"
 #include "bamboostream/src/Gateway/deployment_state.h"
-#include "bamboostream/src/Gateway/document_fetch.h"
-#include "bamboostream/src/Gateway/document_shelf.h"
+#include "bamboostream/src/Gateway/document_fetcher.h"
+#include "bamboostream/src/Gateway/document_provider.h"
 #include "bamboostream/src/Links/link.h"
 
 #include <boost/asio/awaitable.hpp>
@@ -22,7 +22,7 @@
 
 /// Hands the operator's configuration on from instance to instance, so that it comes into force
 /// everywhere while only those that read for all ask the store. Lives on one thread. What is asked
-/// and answered is decided by `document_fetch` and `document_shelf`.
+/// and answered is decided by `document_fetcher` and `document_provider`.
 class configuration_spread {
 public:
     configuration_spread(boost::asio::io_context& context, link_hub& links,
@@ -47,10 +47,10 @@
     bool must_read_store(time_point now);
     /// A newer version is known of and comes.
     bool is_receiving(time_point now) const {
-        return being_read_ || (fetch_.knows_of_newer() && !fetch_.is_stuck(now));
+        return being_read_ || (fetch_.knows_of_newer() && !fetch_.is_stalled(now));
     }
-    const document_fetch& fetch() const { return fetch_; }
-    const document_shelf& shelf() const { return shelf_; }
+    const document_fetcher& fetch() const { return fetch_; }
+    const document_provider& shelf() const { return shelf_; }
 
 private:
     boost::asio::awaitable<void> ask_loop();
@@ -63,8 +63,8 @@
     link_hub& links_;
     membership_service& membership_;
     deployment_state& state_;
-    document_shelf shelf_;
-    document_fetch fetch_;
+    document_provider shelf_;
+    document_fetcher fetch_;
     /// What was received is being read; it will be in force in a moment.
     bool being_read_ = false;
     std::function<bool()> store_is_read_ = [] { return false; };
--- a/bamboostream/src/Gateway/document_fetch.cpp
+++ b/bamboostream/src/Gateway/document_fetcher.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Gateway/document_fetch.h"
+#include "bamboostream/src/Gateway/document_fetcher.h"
 
 #include "bamboostream/src/Core/digest.h"
 
@@ -27,13 +27,13 @@
 
 } // namespace
 
-std::string_view to_string(piece_verdict verdict) {
-    constexpr std::array<std::string_view, static_cast<std::size_t>(piece_verdict::count_)> names =
-        {"taken", "complete", "not_needed", "out_of_order", "unsound", "none"};
+std::string_view to_string(piece_result verdict) {
+    constexpr std::array<std::string_view, static_cast<std::size_t>(piece_result::count_)> names = {
+        "taken", "complete", "not_needed", "out_of_order", "unsound", "none"};
     return names.at(static_cast<std::size_t>(verdict));
 }
 
-void document_fetch::hold(std::int64_t version, std::uint64_t digest) {
+void document_fetcher::set_held(std::int64_t version, std::uint64_t digest) {
     held_version_ = version;
     held_digest_ = digest;
     whole_wanted_ = false;
@@ -49,13 +49,14 @@
     }
 }
 
-internal::document_source* document_fetch::find(const std::string& address) {
+internal::document_source* document_fetcher::find(const std::string& address) {
     const auto found = std::find_if(sources_.begin(), sources_.end(),
                                     [&](const source& s) { return s.address == address; });
     return found == sources_.end() ? nullptr : &*found;
 }
 
-void document_fetch::hear(const std::string& address, std::int64_t version, time_point now) {
+void document_fetcher::add_source(const std::string& address, std::int64_t version,
+                                  time_point now) {
     if (version <= held_version_ || version <= refused_version_) {
         return;
     }
@@ -74,7 +75,7 @@
 }
 
 /// Goes on where the transfer is, otherwise anywhere.
-internal::document_source* document_fetch::choose(time_point now) {
+internal::document_source* document_fetcher::choose(time_point now) {
     const auto may_ask = [&](const source& s) { return s.again_at <= now; };
     if (transfer_) {
         source* current = find(transfer_->from);
@@ -94,19 +95,19 @@
     return open[std::uniform_int_distribution<std::size_t>(0, open.size() - 1)(random_)];
 }
 
-void document_fetch::put_off(const std::string& address, milliseconds pause, time_point now) {
+void document_fetcher::put_off(const std::string& address, milliseconds pause, time_point now) {
     if (source* s = find(address)) {
         s->again_at = now + pause;
     }
 }
 
-void document_fetch::note_silence(time_point now) {
+void document_fetcher::note_silence(time_point now) {
     ++silent_;
     put_off(asked_, silent_pause, now);
     asked_.clear();
 }
 
-std::optional<document_fetch::question> document_fetch::next(time_point now) {
+std::optional<document_fetcher::outgoing_request> document_fetcher::next(time_point now) {
     if (!asked_.empty()) {
         if (now < asked_until_) {
             return std::nullopt;
@@ -118,8 +119,8 @@
         return std::nullopt;
     }
     asked_ = chosen->address;
-    asked_until_ = now + doubled(piece_patience, silent_, longest_patience);
-    question out{asked_, {held_version_, whole_wanted_ ? 0 : held_digest_, 0, 0}};
+    asked_until_ = now + doubled(piece_timeout, silent_, longest_patience);
+    outgoing_request out{asked_, {held_version_, whole_wanted_ ? 0 : held_digest_, 0, 0}};
     if (transfer_) {
         out.request.encoding = transfer_->encoded.name;
         out.request.offset = static_cast<std::uint32_t>(transfer_->got.size());
@@ -127,7 +128,7 @@
     return out;
 }
 
-time_point document_fetch::due(time_point now) const {
+time_point document_fetcher::due(time_point now) const {
     if (!asked_.empty()) {
         return asked_until_;
     }
@@ -138,7 +139,7 @@
     return out;
 }
 
-bool document_fetch::is_sound(const document_piece& piece) const {
+bool document_fetcher::is_sound(const document_piece& piece) const {
     return piece.document_bytes <= most_document_bytes &&
            piece.encoded_bytes <= most_document_bytes && piece.bytes.size() <= piece_bytes &&
            !piece.bytes.empty() && piece.bytes.size() <= piece.encoded_bytes &&
@@ -147,7 +148,8 @@
 
 /// A transfer that is under way is finished first, so that versions which come faster than one
 /// can be carried don't keep each other out.
-bool document_fetch::begin(const document_piece& piece, const std::string& sender, time_point now) {
+bool document_fetcher::begin(const document_piece& piece, const std::string& sender,
+                             time_point now) {
     const bool fits = piece.base_digest == 0 || piece.base_digest == held_digest_;
     const bool is_wanted = !whole_wanted_ || piece.base_digest == 0;
     const bool replaces =
@@ -162,59 +164,58 @@
     return true;
 }
 
-piece_verdict document_fetch::add(document_piece& piece, const std::string& sender,
-                                  time_point now) {
+piece_result document_fetcher::add(document_piece& piece, const std::string& sender,
+                                   time_point now) {
     internal::partial_transfer& t = *transfer_;
     if (piece.encoded_bytes != t.encoded_bytes || piece.version != t.encoded.version) {
-        return piece_verdict::unsound;
+        return piece_result::invalid;
     }
     if (piece.offset != t.got.size()) {
-        return piece.offset < t.got.size() ? piece_verdict::not_needed
-                                           : piece_verdict::out_of_order;
+        return piece.offset < t.got.size() ? piece_result::not_needed : piece_result::out_of_order;
     }
     t.got += piece.bytes;
     t.from = sender;
     progressed_at_ = now;
     silent_ = 0;
     if (t.got.size() < t.encoded_bytes) {
-        return piece_verdict::taken;
+        return piece_result::taken;
     }
     received_ = std::move(t.encoded);
     received_.bytes = std::make_shared<const std::string>(std::move(t.got));
     transfer_.reset();
     if (stable_hash(*received_.bytes) != received_.name) {
-        ask_for_whole();
-        return piece_verdict::unsound;
+        request_full_document();
+        return piece_result::invalid;
     }
-    return piece_verdict::complete;
+    return piece_result::complete;
 }
 
-piece_verdict document_fetch::judge(document_piece& piece, const std::string& sender,
-                                    time_point now) {
+piece_result document_fetcher::judge(document_piece& piece, const std::string& sender,
+                                     time_point now) {
     if (piece.version <= held_version_) {
-        return piece_verdict::not_needed;
+        return piece_result::not_needed;
     }
     if (!is_sound(piece)) {
-        return piece_verdict::unsound;
+        return piece_result::invalid;
     }
     if (!transfer_ || transfer_->encoded.name != piece.encoding) {
         if (!begin(piece, sender, now)) {
-            return piece.offset == 0 ? piece_verdict::not_needed : piece_verdict::out_of_order;
+            return piece.offset == 0 ? piece_result::not_needed : piece_result::out_of_order;
         }
     }
     return add(piece, sender, now);
 }
 
-piece_verdict document_fetch::take(document_piece piece, const std::string& sender,
-                                   time_point now) {
+piece_result document_fetcher::take(document_piece piece, const std::string& sender,
+                                    time_point now) {
     if (asked_ == sender) {
         asked_.clear();
     }
-    hear(sender, piece.version, now);
+    add_source(sender, piece.version, now);
     for (const std::string& holder : piece.holders) {
-        hear(holder, piece.version, now);
+        add_source(holder, piece.version, now);
     }
-    piece_verdict verdict = piece_verdict::none;
+    piece_result verdict = piece_result::none;
     if (piece.kind == piece_kind::bytes) {
         verdict = judge(piece, sender, now);
     }
@@ -226,7 +227,7 @@
     if (s == nullptr) {
         return verdict;
     }
-    if (verdict == piece_verdict::taken || verdict == piece_verdict::complete) {
+    if (verdict == piece_result::taken || verdict == piece_result::complete) {
         s->in_vain = 0;
         return verdict;
     }
@@ -237,7 +238,7 @@
     return verdict;
 }
 
-std::vector<std::string> document_fetch::sources() const {
+std::vector<std::string> document_fetcher::sources() const {
     std::vector<std::string> out;
     for (const source& s : sources_) {
         out.push_back(s.address);
@@ -245,28 +246,29 @@
     return out;
 }
 
-void document_fetch::ask_for_whole() {
+void document_fetcher::request_full_document() {
     whole_wanted_ = true;
     transfer_.reset();
     received_ = {};
 }
 
-void document_fetch::refuse(std::int64_t version) {
+void document_fetcher::reject(std::int64_t version) {
     refused_version_ = std::max(refused_version_, version);
     newest_known_ = held_version_;
     sources_.clear();
 }
 
-bool document_fetch::is_stuck(time_point now) const {
+bool document_fetcher::is_stalled(time_point now) const {
     if (!knows_of_newer()) {
         return false;
     }
     const time_point progress = std::max(known_since_, progressed_at_);
-    return now - std::max(progress, answered_at_) > handing_on ||
-           now - progress > longest_without_piece;
+    return now - std::max(progress, answered_at_) > peer_answer_timeout ||
+           now - progress > max_time_without_piece;
 }
 
-std::optional<partial_document> document_fetch::partial_for(const document_request& request) const {
+std::optional<partial_document>
+document_fetcher::partial_for(const document_request& request) const {
     const auto helps = [&](const encoded_document& encoded) {
         return encoded.version > std::max(request.held_version, held_version_) &&
                (encoded.base_digest == 0 || encoded.base_digest == request.held_digest);
@@ -281,21 +283,21 @@
     return std::nullopt;
 }
 
-document_piece answer_from(document_shelf& shelf, const document_fetch& fetch,
-                           const document_request& request, const std::string& asker,
+document_piece answer_from(document_provider& shelf, const document_fetcher& fetch,
+                           const document_request& request, const std::string& requester,
                            time_point now) {
-    document_piece out = shelf.answer(request, asker, now);
+    document_piece out = shelf.answer(request, requester, now);
     if (out.kind != piece_kind::nothing_newer || fetch.newest_known() <= request.held_version) {
         return out;
     }
     out.kind = piece_kind::busy;
     out.version = fetch.newest_known();
     if (const auto partial = fetch.partial_for(request)) {
-        out = shelf.answer_from(*partial, request, asker, now);
+        out = shelf.answer_from(*partial, request, requester, now);
     }
     if (out.kind == piece_kind::busy) {
         out.holders = fetch.sources();
-        std::erase(out.holders, asker);
+        std::erase(out.holders, requester);
     }
     return out;
 }
--- a/bamboostream/src/Gateway/document_fetch.h
+++ b/bamboostream/src/Gateway/document_fetcher.h
@@ -2,7 +2,7 @@
 
 #include "bamboostream/src/Configuration/document_encoding.h"
 #include "bamboostream/src/Core/clock.h"
-#include "bamboostream/src/Gateway/document_shelf.h"
+#include "bamboostream/src/Gateway/document_provider.h"
 #include "bamboostream/src/Gateway/document_transfer.h"
 
 #include <array>
@@ -16,14 +16,14 @@
 
 /// How long a question for a piece waits before another instance is asked; longer after each
 /// question in a row that brought nothing. A piece that comes later is taken all the same.
-inline constexpr milliseconds piece_patience{150};
+inline constexpr milliseconds piece_timeout{150};
 /// When no instance has answered for so long, the store is read as well.
-inline constexpr milliseconds handing_on{250};
+inline constexpr milliseconds peer_answer_timeout{250};
 /// When no piece came for so long, although instances answer that they serve others.
-inline constexpr milliseconds longest_without_piece{1'200};
+inline constexpr milliseconds max_time_without_piece{1'200};
 
 /// What became of a piece.
-enum class piece_verdict : std::uint8_t {
+enum class piece_result : std::uint8_t {
     /// Taken; more are needed.
     taken,
     /// The last one: the encoding is whole.
@@ -33,14 +33,14 @@
     /// Behind a part that is missing.
     out_of_order,
     /// Of a document that is larger than any, or doesn't keep to what its first piece said.
-    unsound,
+    invalid,
     /// The sender had no bytes to give now.
     none,
     count_,
 };
 
 /// The name of a verdict in metrics.
-std::string_view to_string(piece_verdict verdict);
+std::string_view to_string(piece_result verdict);
 
 namespace internal {
 /// An instance that has a version, or will have it in a moment.
@@ -70,40 +70,40 @@
 /// Whoever was asked too early, or serves others, is asked again a little later; meanwhile the
 /// others that are known to have the version are.
 ///
-/// Pure: it sends nothing and reads no clock. The counterpart is `document_shelf`.
+/// Pure: it sends nothing and reads no clock. The counterpart is `document_provider`.
 ///
 /// Example:
 /// ```
 /// fetch.hear(teller, version, now);
 /// if (const auto question = fetch.next(now)) send(question->to, question->request);
 /// ```
-class document_fetch {
+class document_fetcher {
 public:
-    struct question {
+    struct outgoing_request {
         std::string to;
         document_request request;
     };
-    using verdicts = std::array<std::uint64_t, static_cast<std::size_t>(piece_verdict::count_)>;
+    using piece_counts = std::array<std::uint64_t, static_cast<std::size_t>(piece_result::count_)>;
 
-    explicit document_fetch(std::uint64_t seed) : random_(seed) {}
+    explicit document_fetcher(std::uint64_t seed) : random_(seed) {}
 
     /// This instance has the document with that digest, from wherever.
-    void hold(std::int64_t version, std::uint64_t digest);
+    void set_held(std::int64_t version, std::uint64_t digest);
     /// `source` has a version or will have it in a moment.
-    void hear(const std::string& source, std::int64_t version, time_point now);
+    void add_source(const std::string& source, std::int64_t version, time_point now);
     /// Whom to ask now; nothing while an answer is awaited or there is nothing to ask for.
-    std::optional<question> next(time_point now);
+    std::optional<outgoing_request> next(time_point now);
     /// When to call `next` again; never while nothing newer is known.
     time_point due(time_point now) const;
     /// Takes what `sender` sent, however late. After `complete` the encoding is in `received`.
-    piece_verdict take(document_piece piece, const std::string& sender, time_point now);
+    piece_result take(document_piece piece, const std::string& sender, time_point now);
     const encoded_document& received() const { return received_; }
     /// The received encoding could not be decoded: the whole document is asked for.
-    void ask_for_whole();
+    void request_full_document();
     /// This instance can't use that version, so it isn't asked for again.
-    void refuse(std::int64_t version);
+    void reject(std::int64_t version);
     /// A newer version is known of and the instances that were asked bring nothing.
-    bool is_stuck(time_point now) const;
+    bool is_stalled(time_point now) const;
     bool knows_of_newer() const { return newest_known_ > held_version_; }
     /// The newest version that was told of.
     std::int64_t newest_known() const { return newest_known_; }
@@ -111,7 +111,7 @@
     std::optional<partial_document> partial_for(const document_request& request) const;
     /// Where the newer version is to be had.
     std::vector<std::string> sources() const;
-    const verdicts& pieces() const { return verdicts_; }
+    const piece_counts& pieces() const { return verdicts_; }
 
 private:
     using source = internal::document_source;
@@ -120,9 +120,9 @@
     source* choose(time_point now);
     void put_off(const std::string& address, milliseconds pause, time_point now);
     void note_silence(time_point now);
-    piece_verdict judge(document_piece& piece, const std::string& sender, time_point now);
+    piece_result judge(document_piece& piece, const std::string& sender, time_point now);
     bool begin(const document_piece& piece, const std::string& sender, time_point now);
-    piece_verdict add(document_piece& piece, const std::string& sender, time_point now);
+    piece_result add(document_piece& piece, const std::string& sender, time_point now);
     bool is_sound(const document_piece& piece) const;
 
     std::mt19937_64 random_;
@@ -142,13 +142,14 @@
     int silent_ = 0;
     time_point answered_at_{};
     time_point progressed_at_{};
-    verdicts verdicts_{};
+    piece_counts verdicts_{};
 };
 
-/// What an instance answers to `asker`. One that doesn't have the version yet but fetches it says
-/// so, with where it is to be had: the asker then neither takes it for dead nor goes to the store.
-document_piece answer_from(document_shelf& shelf, const document_fetch& fetch,
-                           const document_request& request, const std::string& asker,
+/// What an instance answers to `requester`. One that doesn't have the version yet but fetches it
+/// says so, with where it is to be had: the asker then neither takes it for dead nor goes to the
+/// store.
+document_piece answer_from(document_provider& shelf, const document_fetcher& fetch,
+                           const document_request& request, const std::string& requester,
                            time_point now);
 
 } // namespace bamboostream
--- a/bamboostream/src/Gateway/document_shelf.cpp
+++ b/bamboostream/src/Gateway/document_provider.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Gateway/document_shelf.h"
+#include "bamboostream/src/Gateway/document_provider.h"
 
 #include <algorithm>
 
@@ -19,7 +19,7 @@
 
 } // namespace
 
-std::size_t document_shelf::most_served_over(double link_mbps) {
+std::size_t document_provider::max_served_for_link(double link_mbps) {
     if (link_mbps <= 0.0) {
         return usual_served;
     }
@@ -28,7 +28,8 @@
     return std::max<std::size_t>(1, static_cast<std::size_t>(pieces));
 }
 
-void document_shelf::put(std::int64_t version, std::shared_ptr<const std::string> document) {
+void document_provider::set_document(std::int64_t version,
+                                     std::shared_ptr<const std::string> document) {
     previous_ = std::move(document_);
     previous_digest_ = digest_;
     version_ = version;
@@ -38,13 +39,14 @@
     holders_.clear();
 }
 
-void document_shelf::keep(const encoded_document& received) {
+void document_provider::cache_encoding(const encoded_document& received) {
     if (received.digest == digest_ && received.version == version_) {
         encodings_.insert_or_assign(received.base_digest, received);
     }
 }
 
-const encoded_document& document_shelf::encoding(std::uint64_t base_digest, std::string_view base) {
+const encoded_document& document_provider::encoding(std::uint64_t base_digest,
+                                                    std::string_view base) {
     const auto found = encodings_.find(base_digest);
     if (found != encodings_.end()) {
         return found->second;
@@ -54,7 +56,7 @@
         .first->second;
 }
 
-const encoded_document& document_shelf::encoding_for(const document_request& request) {
+const encoded_document& document_provider::encoding_for(const document_request& request) {
     for (const auto* encodings : {&encodings_, &encodings_before_}) {
         for (const auto& [base, encoded] : *encodings) {
             if (request.offset > 0 && encoded.name == request.encoding &&
@@ -70,31 +72,31 @@
     return encoding(0, {});
 }
 
-bool document_shelf::may_serve(std::uint32_t encoded_bytes, const std::string& asker,
-                               time_point now) {
+bool document_provider::may_serve(std::uint32_t encoded_bytes, const std::string& requester,
+                                  time_point now) {
     if (encoded_bytes <= small_encoding) {
         return true;
     }
     std::erase_if(served_, [&](const auto& it) { return now - it.second > served_for; });
-    if (!served_.contains(asker) && served_.size() >= most_served_) {
+    if (!served_.contains(requester) && served_.size() >= most_served_) {
         return false;
     }
-    served_[asker] = now;
+    served_[requester] = now;
     return true;
 }
 
-void document_shelf::note_served(const document_piece& piece, const std::string& asker) {
+void document_provider::note_served(const document_piece& piece, const std::string& requester) {
     if (piece.offset + piece.bytes.size() == piece.encoded_bytes) {
-        served_.erase(asker);
+        served_.erase(requester);
     }
-    if (std::find(holders_.begin(), holders_.end(), asker) == holders_.end()) {
-        holders_.push_front(asker);
+    if (std::find(holders_.begin(), holders_.end(), requester) == holders_.end()) {
+        holders_.push_front(requester);
         holders_.resize(std::min(holders_.size(), most_holders));
     }
 }
 
-document_piece document_shelf::answer(const document_request& request, const std::string& asker,
-                                      time_point now) {
+document_piece document_provider::answer(const document_request& request,
+                                         const std::string& requester, time_point now) {
     if (!document_ || version_ <= request.held_version) {
         document_piece out;
         out.version = version_;
@@ -102,12 +104,12 @@
     }
     const encoded_document& encoded = encoding_for(request);
     const auto size = static_cast<std::uint32_t>(encoded.bytes->size());
-    return answer_from({encoded, size, *encoded.bytes}, request, asker, now);
+    return answer_from({encoded, size, *encoded.bytes}, request, requester, now);
 }
 
-document_piece document_shelf::answer_from(const partial_document& source,
-                                           const document_request& request,
-                                           const std::string& asker, time_point now) {
+document_piece document_provider::answer_from(const partial_document& source,
+                                              const document_request& request,
+                                              const std::string& requester, time_point now) {
     const encoded_document& encoded = source.encoded;
     document_piece out;
     out.version = encoded.version;
@@ -118,14 +120,14 @@
     out.encoded_bytes = source.encoded_bytes;
     const bool goes_on = request.encoding == encoded.name && request.offset < out.encoded_bytes;
     out.offset = goes_on ? request.offset : 0;
-    if (out.offset >= source.bytes.size() || !may_serve(source.encoded_bytes, asker, now)) {
+    if (out.offset >= source.bytes.size() || !may_serve(source.encoded_bytes, requester, now)) {
         out.kind = piece_kind::busy;
         out.holders.assign(holders_.begin(), holders_.end());
         return out;
     }
     out.kind = piece_kind::bytes;
     out.bytes = source.bytes.substr(out.offset, piece_bytes);
-    note_served(out, asker);
+    note_served(out, requester);
     return out;
 }
 
--- a/bamboostream/src/Gateway/document_shelf.h
+++ b/bamboostream/src/Gateway/document_provider.h
@@ -28,31 +28,31 @@
 /// by those it serves: when whoever asked was sent the whole, again each time that it asked, the
 /// links of those that had it were full of answers that came too late, and nobody got on.
 ///
-/// Pure: it sends nothing and reads no clock. The counterpart is `document_fetch`.
+/// Pure: it sends nothing and reads no clock. The counterpart is `document_fetcher`.
 ///
 /// Example:
 /// ```
 /// shelf.put(version, text);
 /// send(asker, shelf.answer(request, asker, now));
 /// ```
-class document_shelf {
+class document_provider {
 public:
-    explicit document_shelf(std::size_t most_served) : most_served_(most_served) {}
+    explicit document_provider(std::size_t most_served) : most_served_(most_served) {}
 
     /// How many askers an instance with a link of so many Mbit/s serves at once; what it sends to
     /// one round of them keeps the link busy for some 30 ms.
-    static std::size_t most_served_over(double link_mbps);
-    void serve_at_most(std::size_t askers) { most_served_ = askers; }
+    static std::size_t max_served_for_link(double link_mbps);
+    void set_max_served(std::size_t askers) { most_served_ = askers; }
 
     /// The document in force here has become `document`.
-    void put(std::int64_t version, std::shared_ptr<const std::string> document);
+    void set_document(std::int64_t version, std::shared_ptr<const std::string> document);
     /// Keeps what was received, so that it needn't be encoded again.
-    void keep(const encoded_document& received);
-    document_piece answer(const document_request& request, const std::string& asker,
+    void cache_encoding(const encoded_document& received);
+    document_piece answer(const document_request& request, const std::string& requester,
                           time_point now);
     /// The same from an encoding that is still being received.
     document_piece answer_from(const partial_document& source, const document_request& request,
-                               const std::string& asker, time_point now);
+                               const std::string& requester, time_point now);
 
     std::int64_t version() const { return version_; }
     /// Of the document in force; zero when there is none.
@@ -64,8 +64,8 @@
 private:
     const encoded_document& encoding_for(const document_request& request);
     const encoded_document& encoding(std::uint64_t base_digest, std::string_view base);
-    bool may_serve(std::uint32_t encoded_bytes, const std::string& asker, time_point now);
-    void note_served(const document_piece& piece, const std::string& asker);
+    bool may_serve(std::uint32_t encoded_bytes, const std::string& requester, time_point now);
+    void note_served(const document_piece& piece, const std::string& requester);
 
     std::size_t most_served_;
     std::int64_t version_ = 0;
--- a/bamboostream/src/Gateway/gateway_metrics.cpp
+++ b/bamboostream/src/Gateway/gateway_metrics.cpp
@@ -42,7 +42,7 @@
     for (std::size_t i = 0; i < figures.configuration_pieces.size(); ++i) {
         fmt::format_to(std::back_inserter(out),
                        "bamboostream_configuration_pieces_total{{verdict=\"{}\"}} {}\n",
-                       to_string(static_cast<piece_verdict>(i)), figures.configuration_pieces[i]);
+                       to_string(static_cast<piece_result>(i)), figures.configuration_pieces[i]);
     }
 }
 
--- a/bamboostream/src/Gateway/gateway_metrics.h
+++ b/bamboostream/src/Gateway/gateway_metrics.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bamboostream/src/Forwarding/forwarding_state.h"
-#include "bamboostream/src/Gateway/document_fetch.h"
+#include "bamboostream/src/Gateway/document_fetcher.h"
 #include "bamboostream/src/Gateway/store_follower.h"
 #include "bamboostream/src/Links/link.h"
 
@@ -17,7 +17,7 @@
     std::int64_t told_configuration_version = 0;
     std::uint64_t configurations_rejected = 0;
     std::uint64_t configurations_encoded = 0;
-    document_fetch::verdicts configuration_pieces{};
+    document_fetcher::piece_counts configuration_pieces{};
     store_call_counts calls_to_store{};
     link_traffic links;
 };
--- a/test/platform/document_play.cpp
+++ b/test/platform/document_play.cpp
@@ -35,11 +35,12 @@
         instance& it = all_[i];
         const double mbps = is_large(i) ? plan.large_mbps : plan.link_mbps;
         it.bytes_a_second = mbps * 1e6 / 8.0;
-        it.fetch = std::make_unique<document_fetch>(i + 1);
-        it.shelf = std::make_unique<document_shelf>(document_shelf::most_served_over(mbps));
+        it.fetch = std::make_unique<document_fetcher>(i + 1);
+        it.shelf =
+            std::make_unique<document_provider>(document_provider::max_served_for_link(mbps));
         if (before) {
-            it.shelf->put(version_before, before);
-            it.fetch->hold(version_before, it.shelf->digest());
+            it.shelf->set_document(version_before, before);
+            it.fetch->set_held(version_before, it.shelf->digest());
         }
         const bool may_be_cut = i >= readers && !relays(i);
         it.in_touch = !may_be_cut || std::uniform_real_distribution<>(0, 1)(random) >= plan.cut_off;
@@ -103,9 +104,9 @@
                          const std::string& teller) {
     send(from, to, frame_bytes, [this, from, to, pass_on, teller] {
         const std::string sender = name_of(from);
-        all_[to].fetch->hear(sender, version_after, now_);
+        all_[to].fetch->add_source(sender, version_after, now_);
         if (teller != sender) {
-            all_[to].fetch->hear(teller, version_after, now_);
+            all_[to].fetch->add_source(teller, version_after, now_);
         }
         wake(to);
         if (!pass_on) {
@@ -125,9 +126,9 @@
     if (it.silent || it.done) {
         return;
     }
-    it.store = it.store || it.fetch->is_stuck(now_);
-    if (const auto question = it.fetch->next(now_)) {
-        ask(i, *question);
+    it.store = it.store || it.fetch->is_stalled(now_);
+    if (const auto outgoing_request = it.fetch->next(now_)) {
+        ask(i, *outgoing_request);
     }
     const time_point due = it.fetch->due(now_);
     if (due < time_point::max() && (due < it.woken_at || it.woken_at <= now_)) {
@@ -136,9 +137,9 @@
     }
 }
 
-void document_play::ask(std::size_t i, const document_fetch::question& question) {
-    const std::size_t to = index_of(question.to);
-    send(i, to, frame_bytes, [this, i, to, request = question.request] {
+void document_play::ask(std::size_t i, const document_fetcher::outgoing_request& outgoing_request) {
+    const std::size_t to = index_of(outgoing_request.to);
+    send(i, to, frame_bytes, [this, i, to, request = outgoing_request.request] {
         if (all_[to].silent) {
             return;
         }
@@ -155,11 +156,11 @@
 
 void document_play::take(std::size_t i, const document_piece& piece, std::size_t from) {
     instance& it = all_[i];
-    if (it.fetch->take(piece, name_of(from), now_) == piece_verdict::complete) {
+    if (it.fetch->take(piece, name_of(from), now_) == piece_result::complete) {
         const encoded_document received = it.fetch->received();
-        it.shelf->put(version_after, after_);
-        it.shelf->keep(received);
-        it.fetch->hold(version_after, it.shelf->digest());
+        it.shelf->set_document(version_after, after_);
+        it.shelf->cache_encoding(received);
+        it.fetch->set_held(version_after, it.shelf->digest());
         it.done = now_;
         return;
     }
@@ -169,8 +170,8 @@
 spread_outcome document_play::run() {
     const time_point began{};
     for (std::size_t reader = 0; reader < readers; ++reader) {
-        all_[reader].shelf->put(version_after, after_);
-        all_[reader].fetch->hold(version_after, all_[reader].shelf->digest());
+        all_[reader].shelf->set_document(version_after, after_);
+        all_[reader].fetch->set_held(version_after, all_[reader].shelf->digest());
         all_[reader].done = began;
     }
     const std::function<void()> tell_all = [&] {
--- a/test/platform/document_play.h
+++ b/test/platform/document_play.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "bamboostream/src/Gateway/document_fetch.h"
-#include "bamboostream/src/Gateway/document_shelf.h"
+#include "bamboostream/src/Gateway/document_fetcher.h"
+#include "bamboostream/src/Gateway/document_provider.h"
 #include "test/platform/large_document.h"
 
 #include <cstdint>
@@ -52,8 +52,8 @@
 
 private:
     struct instance {
-        std::unique_ptr<document_fetch> fetch;
-        std::unique_ptr<document_shelf> shelf;
+        std::unique_ptr<document_fetcher> fetch;
+        std::unique_ptr<document_provider> shelf;
         double bytes_a_second = 0.0;
         time_point sends_from{};
         time_point receives_from{};
@@ -76,7 +76,7 @@
     void send(std::size_t from, std::size_t to, std::size_t bytes, std::function<void()> arrive);
     void tell(std::size_t from, std::size_t to, bool pass_on, const std::string& teller);
     void wake(std::size_t i);
-    void ask(std::size_t i, const document_fetch::question& question);
+    void ask(std::size_t i, const document_fetcher::outgoing_request& outgoing_request);
     void take(std::size_t i, const document_piece& piece, std::size_t from);
     document_piece look_up(std::size_t i, const document_request& request, std::size_t asker);
     bool relays(std::size_t i) const;
--- a/test/platform/document_transfer_test.cpp
+++ b/test/platform/document_transfer_test.cpp
@@ -102,25 +102,25 @@
 
 // --- whom an instance serves
 
-document_request request_of(const document_shelf& held, std::uint64_t encoding = 0,
+document_request request_of(const document_provider& held, std::uint64_t encoding = 0,
                             std::uint32_t offset = 0) {
     return {held.version(), held.digest(), encoding, offset};
 }
 
-class document_shelf_test : public testing::Test {
+class document_provider_test : public testing::Test {
 protected:
-    document_shelf_test() {
-        held_.put(1, shared(old_text));
-        shelf_.put(1, shared(old_text));
-        shelf_.put(2, shared(other_text));
+    document_provider_test() {
+        held_.set_document(1, shared(old_text));
+        shelf_.set_document(1, shared(old_text));
+        shelf_.set_document(2, shared(other_text));
     }
-    document_shelf held_{1};
-    document_shelf shelf_{2};
+    document_provider held_{1};
+    document_provider shelf_{2};
 };
 
 // Seventy instances ask at the same moment. The document is encoded once for all of them; as many
 // are served as the link bears, and the others are told who gets it.
-TEST_F(document_shelf_test, encodes_once_and_serves_as_many_as_the_link_bears) {
+TEST_F(document_provider_test, encodes_once_and_serves_as_many_as_the_link_bears) {
     int served = 0;
     for (int i = 0; i < 70; ++i) {
         const auto piece = shelf_.answer(request_of(held_), std::to_string(i), start);
@@ -137,10 +137,10 @@
 }
 
 // A small change is for everybody at once.
-TEST_F(document_shelf_test, a_small_change_goes_to_all) {
-    document_shelf shelf(1);
-    shelf.put(1, shared(old_text));
-    shelf.put(2, shared(new_text));
+TEST_F(document_provider_test, a_small_change_goes_to_all) {
+    document_provider shelf(1);
+    shelf.set_document(1, shared(old_text));
+    shelf.set_document(2, shared(new_text));
     for (int i = 0; i < 70; ++i) {
         const auto piece = shelf.answer(request_of(held_), std::to_string(i), start);
         EXPECT_EQ(piece.kind, piece_kind::bytes);
@@ -165,35 +165,36 @@
 
 // Pieces of all that are served wait on one link; a probe behind them must not be late.
 TEST_P(served_over, a_link) {
-    EXPECT_EQ(document_shelf::most_served_over(GetParam().mbps), GetParam().served);
+    EXPECT_EQ(document_provider::max_served_for_link(GetParam().mbps), GetParam().served);
 }
 
 // --- what becomes of pieces
 
 /// Two holders of a new document and an instance that fetches it.
-class document_fetch_test : public testing::Test {
+class document_fetcher_test : public testing::Test {
 protected:
-    document_fetch_test() {
-        for (document_shelf* shelf : {&a_, &b_}) {
-            shelf->put(1, shared(old_text));
-            shelf->put(2, shared(other_text));
+    document_fetcher_test() {
+        for (document_provider* shelf : {&a_, &b_}) {
+            shelf->set_document(1, shared(old_text));
+            shelf->set_document(2, shared(other_text));
         }
-        held_.put(1, shared(old_text));
-        fetch_.hold(1, held_.digest());
+        held_.set_document(1, shared(old_text));
+        fetch_.set_held(1, held_.digest());
     }
-    document_shelf& shelf_of(const std::string& name) { return name == "a" ? a_ : b_; }
+    document_provider& shelf_of(const std::string& name) { return name == "a" ? a_ : b_; }
     /// Asks until it is whole or nobody can be asked; counts the pieces of each holder.
     void fetch_all(time_point now) {
         constexpr int most_questions = 100;
         for (int i = 0; i < most_questions; ++i) {
-            const auto question = fetch_.next(now);
-            if (!question) {
+            const auto outgoing_request = fetch_.next(now);
+            if (!outgoing_request) {
                 return;
             }
-            ++asked_[question->to];
-            auto piece = shelf_of(question->to).answer(question->request, "me", now);
-            verdict_ = fetch_.take(std::move(piece), question->to, now);
-            if (verdict_ == piece_verdict::complete) {
+            ++asked_[outgoing_request->to];
+            auto piece =
+                shelf_of(outgoing_request->to).answer(outgoing_request->request, "me", now);
+            verdict_ = fetch_.take(std::move(piece), outgoing_request->to, now);
+            if (verdict_ == piece_result::complete) {
                 return;
             }
         }
@@ -201,30 +202,30 @@
     document_piece first_piece(const std::string& name = "a") {
         return shelf_of(name).answer(request_of(held_), "me", start);
     }
-    std::uint64_t count(piece_verdict verdict) const {
+    std::uint64_t count(piece_result verdict) const {
         return fetch_.pieces()[static_cast<std::size_t>(verdict)];
     }
 
-    document_shelf a_{8};
-    document_shelf b_{8};
-    document_shelf held_{8};
-    document_fetch fetch_{1};
+    document_provider a_{8};
+    document_provider b_{8};
+    document_provider held_{8};
+    document_fetcher fetch_{1};
     std::map<std::string, int> asked_;
-    piece_verdict verdict_ = piece_verdict::none;
+    piece_result verdict_ = piece_result::none;
 };
 
 // The holder dies in the middle. What has come isn't asked for again: the transfer goes on at
 // another one.
-TEST_F(document_fetch_test, goes_on_at_another_holder) {
-    fetch_.hear("a", 2, start);
-    const auto question = fetch_.next(start);
-    ASSERT_TRUE(question);
+TEST_F(document_fetcher_test, goes_on_at_another_holder) {
+    fetch_.add_source("a", 2, start);
+    const auto outgoing_request = fetch_.next(start);
+    ASSERT_TRUE(outgoing_request);
     fetch_.take(first_piece(), "a", start);
     ASSERT_TRUE(fetch_.next(start));
-    fetch_.hear("b", 2, start);
-    EXPECT_FALSE(fetch_.next(start + piece_patience - milliseconds(1)));
-    fetch_all(start + piece_patience);
-    ASSERT_EQ(verdict_, piece_verdict::complete);
+    fetch_.add_source("b", 2, start);
+    EXPECT_FALSE(fetch_.next(start + piece_timeout - milliseconds(1)));
+    fetch_all(start + piece_timeout);
+    ASSERT_EQ(verdict_, piece_result::complete);
     EXPECT_EQ(asked_["a"], 0);
     const std::size_t pieces = (fetch_.received().bytes->size() + piece_bytes - 1) / piece_bytes;
     EXPECT_EQ(static_cast<std::size_t>(asked_["b"]), pieces - 1);
@@ -234,53 +235,53 @@
 
 // A piece comes after another holder was asked in vain. It was thrown away once, and on a slow link
 // all came so late.
-TEST_F(document_fetch_test, a_late_piece_counts) {
-    fetch_.hear("a", 2, start);
+TEST_F(document_fetcher_test, a_late_piece_counts) {
+    fetch_.add_source("a", 2, start);
     ASSERT_TRUE(fetch_.next(start));
     const time_point late = start + seconds(3);
-    EXPECT_EQ(fetch_.take(first_piece(), "a", late), piece_verdict::taken);
-    EXPECT_FALSE(fetch_.is_stuck(late));
+    EXPECT_EQ(fetch_.take(first_piece(), "a", late), piece_result::taken);
+    EXPECT_FALSE(fetch_.is_stalled(late));
     // The same comes once more, from somebody else who was asked meanwhile.
-    EXPECT_EQ(fetch_.take(first_piece("b"), "b", late), piece_verdict::not_needed);
+    EXPECT_EQ(fetch_.take(first_piece("b"), "b", late), piece_result::not_needed);
     fetch_all(late);
-    EXPECT_EQ(verdict_, piece_verdict::complete);
+    EXPECT_EQ(verdict_, piece_result::complete);
 }
 
 /// Something wrong with a piece, after the first good one was taken.
 struct wrong_row {
     std::string name;
     void (*change)(document_piece& piece);
-    piece_verdict verdict;
+    piece_result verdict;
 };
 
-class wrong_piece : public document_fetch_test, public testing::WithParamInterface<wrong_row> {};
+class wrong_piece : public document_fetcher_test, public testing::WithParamInterface<wrong_row> {};
 
 INSTANTIATE_TEST_SUITE_P(
     table, wrong_piece,
     testing::Values(
         wrong_row{"behind_a_gap", [](document_piece& p) { p.offset += 100; },
-                  piece_verdict::out_of_order},
+                  piece_result::out_of_order},
         wrong_row{"of_another_encoding", [](document_piece& p) { ++p.encoding; },
-                  piece_verdict::out_of_order},
+                  piece_result::out_of_order},
         wrong_row{"of_an_older_version", [](document_piece& p) { p.version = 1; },
-                  piece_verdict::not_needed},
+                  piece_result::not_needed},
         wrong_row{"of_two_versions", [](document_piece& p) { p.version = 3; },
-                  piece_verdict::unsound},
+                  piece_result::invalid},
         wrong_row{"larger_than_said", [](document_piece& p) { p.encoded_bytes = 10; },
-                  piece_verdict::unsound},
+                  piece_result::invalid},
         wrong_row{"larger_than_any",
                   [](document_piece& p) { p.document_bytes = most_document_bytes + 1; },
-                  piece_verdict::unsound},
+                  piece_result::invalid},
         wrong_row{"more_than_a_piece", [](document_piece& p) { p.bytes.resize(piece_bytes + 1); },
-                  piece_verdict::unsound},
+                  piece_result::invalid},
         wrong_row{"at_an_absurd_offset",
                   [](document_piece& p) { p.offset = std::numeric_limits<std::uint32_t>::max(); },
-                  piece_verdict::unsound}),
+                  piece_result::invalid}),
     [](const auto& info) { return info.param.name; });
 
 // Pieces that don't fit are counted and change nothing; the transfer goes on.
 TEST_P(wrong_piece, changes_nothing) {
-    fetch_.hear("a", 2, start);
+    fetch_.add_source("a", 2, start);
     ASSERT_TRUE(fetch_.next(start));
     const document_piece first = first_piece();
     fetch_.take(first, "a", start);
@@ -289,44 +290,44 @@
     EXPECT_EQ(fetch_.take(std::move(piece), "a", start), GetParam().verdict);
     EXPECT_EQ(count(GetParam().verdict), 1u);
     fetch_all(start + seconds(1));
-    ASSERT_EQ(verdict_, piece_verdict::complete);
+    ASSERT_EQ(verdict_, piece_result::complete);
     document_failure why;
     EXPECT_EQ(decode_document(fetch_.received(), old_text, why), other_text) << why.text;
 }
 
 // A byte is damaged under way, which shows only when all is there: the whole is asked for, and a
 // change isn't taken in its place.
-TEST_F(document_fetch_test, after_damage_the_whole_is_asked_for) {
-    fetch_.hear("a", 2, start);
+TEST_F(document_fetcher_test, after_damage_the_whole_is_asked_for) {
+    fetch_.add_source("a", 2, start);
     document_piece piece = first_piece();
     piece.encoded_bytes = static_cast<std::uint32_t>(piece.bytes.size());
     piece.bytes[100] ^= 1;
     ASSERT_TRUE(fetch_.next(start));
-    EXPECT_EQ(fetch_.take(std::move(piece), "a", start), piece_verdict::unsound);
-    EXPECT_EQ(fetch_.take(first_piece("b"), "b", start), piece_verdict::not_needed);
-    const auto question = fetch_.next(start + seconds(1));
-    ASSERT_TRUE(question);
-    EXPECT_EQ(question->request.held_digest, 0u);
-    EXPECT_EQ(question->request.offset, 0u);
+    EXPECT_EQ(fetch_.take(std::move(piece), "a", start), piece_result::invalid);
+    EXPECT_EQ(fetch_.take(first_piece("b"), "b", start), piece_result::not_needed);
+    const auto outgoing_request = fetch_.next(start + seconds(1));
+    ASSERT_TRUE(outgoing_request);
+    EXPECT_EQ(outgoing_request->request.held_digest, 0u);
+    EXPECT_EQ(outgoing_request->request.offset, 0u);
 }
 
 // Versions come faster than one can be carried over a small link. The transfer that is under way is
 // finished first; each newer one would begin anew and none would ever be in force.
-TEST_F(document_fetch_test, a_newer_version_doesnt_keep_out_the_one_under_way) {
-    fetch_.hear("a", 2, start);
+TEST_F(document_fetcher_test, a_newer_version_doesnt_keep_out_the_one_under_way) {
+    fetch_.add_source("a", 2, start);
     ASSERT_TRUE(fetch_.next(start));
     fetch_.take(first_piece(), "a", start);
-    a_.put(3, shared(large_document_text(3, 6'001, 900'000)));
-    fetch_.hear("a", 3, start);
+    a_.set_document(3, shared(large_document_text(3, 6'001, 900'000)));
+    fetch_.add_source("a", 3, start);
     fetch_all(start);
-    EXPECT_EQ(verdict_, piece_verdict::complete);
+    EXPECT_EQ(verdict_, piece_result::complete);
     EXPECT_EQ(fetch_.received().version, 2);
 }
 
 // Whoever was told of a version asks a relay that is still fetching it. The relay passes on what it
 // has, so that a large document goes through many instances in little more time than through one.
-TEST_F(document_fetch_test, what_has_come_is_passed_on) {
-    fetch_.hear("a", 2, start);
+TEST_F(document_fetcher_test, what_has_come_is_passed_on) {
+    fetch_.add_source("a", 2, start);
     ASSERT_TRUE(fetch_.next(start));
     const document_piece first = first_piece();
     const auto ask = [&](std::uint32_t offset) {
@@ -344,49 +345,49 @@
 }
 
 // A configuration that this instance can't use isn't fetched again and again.
-TEST_F(document_fetch_test, a_refused_version_is_left_alone) {
-    fetch_.hear("a", 2, start);
-    fetch_.refuse(2);
-    fetch_.hear("a", 2, start);
+TEST_F(document_fetcher_test, a_refused_version_is_left_alone) {
+    fetch_.add_source("a", 2, start);
+    fetch_.reject(2);
+    fetch_.add_source("a", 2, start);
     EXPECT_FALSE(fetch_.next(start + seconds(1)));
-    EXPECT_FALSE(fetch_.is_stuck(start + seconds(5)));
-    fetch_.hear("a", 3, start);
+    EXPECT_FALSE(fetch_.is_stalled(start + seconds(5)));
+    fetch_.add_source("a", 3, start);
     EXPECT_TRUE(fetch_.next(start + seconds(1)));
 }
 
 // All that have the version serve others. They are asked again, ever less often, and the store is
 // read when that takes too long.
-TEST_F(document_fetch_test, busy_holders_are_asked_again_until_the_store_is_read) {
-    fetch_.hear("a", 2, start);
+TEST_F(document_fetcher_test, busy_holders_are_asked_again_until_the_store_is_read) {
+    fetch_.add_source("a", 2, start);
     document_piece busy;
     busy.kind = piece_kind::busy;
     busy.version = 2;
     int questions = 0;
     time_point now = start;
-    while (!fetch_.is_stuck(now) && now < start + seconds(5)) {
-        if (const auto question = fetch_.next(now)) {
+    while (!fetch_.is_stalled(now) && now < start + seconds(5)) {
+        if (const auto outgoing_request = fetch_.next(now)) {
             ++questions;
-            fetch_.take(busy, question->to, now);
+            fetch_.take(busy, outgoing_request->to, now);
         }
         now += milliseconds(1);
     }
-    EXPECT_GT(now - start, longest_without_piece);
-    EXPECT_LT(now - start, longest_without_piece + milliseconds(50));
+    EXPECT_GT(now - start, max_time_without_piece);
+    EXPECT_LT(now - start, max_time_without_piece + milliseconds(50));
     EXPECT_LT(questions, 12);
 }
 
 // A reader tells of a configuration, and no peer hands it on. The store is read then, not before,
 // and not for a version that is known here; an older word that comes late changes nothing.
-TEST_F(document_fetch_test, the_store_is_read_when_no_peer_hands_on) {
-    fetch_.hold(6, 66);
-    fetch_.hear("r1", 7, start);
-    fetch_.hear("r2", 5, start + milliseconds(10));
-    const time_point later = start + handing_on + milliseconds(1);
-    EXPECT_TRUE(fetch_.is_stuck(later));
+TEST_F(document_fetcher_test, the_store_is_read_when_no_peer_hands_on) {
+    fetch_.set_held(6, 66);
+    fetch_.add_source("r1", 7, start);
+    fetch_.add_source("r2", 5, start + milliseconds(10));
+    const time_point later = start + peer_answer_timeout + milliseconds(1);
+    EXPECT_TRUE(fetch_.is_stalled(later));
     // Until then a peer may hand it on.
-    EXPECT_FALSE(fetch_.is_stuck(start + handing_on));
-    fetch_.hold(7, 77);
-    EXPECT_FALSE(fetch_.is_stuck(later));
+    EXPECT_FALSE(fetch_.is_stalled(start + peer_answer_timeout));
+    fetch_.set_held(7, 77);
+    EXPECT_FALSE(fetch_.is_stalled(later));
 }
 
 } // namespace
--- a/test/platform/news_relay_test.cpp
+++ b/test/platform/news_relay_test.cpp
@@ -95,7 +95,7 @@
         group_.run_for(milliseconds(10));
     }
     EXPECT_EQ(holding_configuration(2), all);
-    EXPECT_LT(monotonic_now() - written, handing_on + milliseconds(150));
+    EXPECT_LT(monotonic_now() - written, peer_answer_timeout + milliseconds(150));
     EXPECT_EQ(calls() - order[0]->store.calls() - order[1]->store.calls(), before);
 }
 
