--- a/bamboostream/src/Gateway/configuration_spread.cpp
+++ b/bamboostream/src/Gateway/configuration_distributor.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Gateway/configuration_spread.h"
+#include "bamboostream/src/Gateway/configuration_distributor.h"
 
 #include "bamboostream/src/Control/frames.h"
 #include "bamboostream/src/Control/periodic.h"
@@ -23,21 +23,22 @@
 
 } // namespace
 
-configuration_spread::configuration_spread(asio::io_context& context, link_hub& links,
-                                           membership_service& membership, deployment_state& state)
+configuration_distributor::configuration_distributor(asio::io_context& context, link_hub& links,
+                                                     membership_service& membership,
+                                                     deployment_state& state)
     : context_(context), links_(links), membership_(membership), state_(state),
       shelf_(document_provider::max_served_for_link(0.0)),
       fetch_(stable_hash(membership.own_address())), due_(context) {}
 
-void configuration_spread::start() {
+void configuration_distributor::start() {
     asio::co_spawn(context_, ask_loop(), asio::detached);
 }
 
-void configuration_spread::set_link_speed(double megabits_a_second) {
+void configuration_distributor::set_link_speed(double megabits_a_second) {
     shelf_.set_max_served(document_provider::max_served_for_link(megabits_a_second));
 }
 
-void configuration_spread::follow_state() {
+void configuration_distributor::follow_state() {
     if (state_.version() == shelf_.version()) {
         return;
     }
@@ -45,7 +46,7 @@
     fetch_.set_held(shelf_.version(), shelf_.digest());
 }
 
-asio::awaitable<void> configuration_spread::ask_loop() {
+asio::awaitable<void> configuration_distributor::ask_loop() {
     while (true) {
         follow_state();
         const time_point now = monotonic_now();
@@ -66,7 +67,8 @@
     }
 }
 
-void configuration_spread::hear_version(const std::string& teller, std::int64_t version) {
+void configuration_distributor::on_version_announced(const std::string& teller,
+                                                     std::int64_t version) {
     follow_state();
     const bool knew = fetch_.knows_of_newer();
     fetch_.add_source(teller, version, monotonic_now());
@@ -76,19 +78,19 @@
     }
 }
 
-void configuration_spread::ask_anybody(const std::string& peer) {
+void configuration_distributor::query_peer(const std::string& peer) {
     follow_state();
     links_.send(peer, make_frame(to_wire(document_request{shelf_.version(), shelf_.digest()})));
 }
 
-void configuration_spread::answer(const wire::DocumentRequestT& request,
-                                  const std::string& sender) {
+void configuration_distributor::answer(const wire::DocumentRequestT& request,
+                                       const std::string& sender) {
     follow_state();
     links_.send(sender, make_frame(to_wire(answer_from(shelf_, fetch_, from_wire(request), sender,
                                                        monotonic_now()))));
 }
 
-void configuration_spread::take(const wire::DocumentPieceT& piece, const std::string& sender) {
+void configuration_distributor::take(const wire::DocumentPieceT& piece, const std::string& sender) {
     follow_state();
     const std::int64_t version = piece.version;
     const piece_result verdict = fetch_.take(from_wire(piece), sender, monotonic_now());
@@ -102,7 +104,7 @@
     due_.cancel();
 }
 
-void configuration_spread::finish(const std::string& sender) {
+void configuration_distributor::finish(const std::string& sender) {
     const encoded_document& encoded = fetch_.received();
     const std::string none;
     const std::string& base = encoded.base_digest == 0 ? none : *shelf_.document();
@@ -123,7 +125,8 @@
         [this, received = encoded](document_verdict verdict) { note_judged(received, verdict); });
 }
 
-void configuration_spread::note_judged(const encoded_document& received, document_verdict verdict) {
+void configuration_distributor::note_judged(const encoded_document& received,
+                                            document_verdict verdict) {
     being_read_ = false;
     if (verdict == document_verdict::rejected) {
         fetch_.reject(received.version);
@@ -134,7 +137,7 @@
     due_.cancel();
 }
 
-bool configuration_spread::must_read_store(time_point now) {
+bool configuration_distributor::must_read_store(time_point now) {
     follow_state();
     return !being_read_ && fetch_.is_stalled(now);
 }
--- a/bamboostream/src/Gateway/configuration_spread.h
+++ b/bamboostream/src/Gateway/configuration_distributor.h
@@ -23,23 +23,23 @@
 /// Hands the operator's configuration on from instance to instance, so that it comes into force
 /// everywhere while only those that read for all ask the store. Lives on one thread. What is asked
 /// and answered is decided by `document_fetcher` and `document_provider`.
-class configuration_spread {
+class configuration_distributor {
 public:
-    configuration_spread(boost::asio::io_context& context, link_hub& links,
-                         membership_service& membership, deployment_state& state);
+    configuration_distributor(boost::asio::io_context& context, link_hub& links,
+                              membership_service& membership, deployment_state& state);
 
     void start();
     /// The speed of this instance's link bounds how many it serves at once.
     void set_link_speed(double megabits_a_second);
     /// While the store is being read for a newer version no other source is asked.
-    void pause_while(std::function<bool()> store_is_read) {
+    void set_pause_condition(std::function<bool()> store_is_read) {
         store_is_read_ = std::move(store_is_read);
     }
 
     /// `teller` has a version, or passes on the word of one that has.
-    void hear_version(const std::string& teller, std::int64_t version);
+    void on_version_announced(const std::string& teller, std::int64_t version);
     /// Asks somebody whether there is something newer, because nobody has told for long.
-    void ask_anybody(const std::string& peer);
+    void query_peer(const std::string& peer);
     void answer(const wire::DocumentRequestT& request, const std::string& sender);
     void take(const wire::DocumentPieceT& piece, const std::string& sender);
 
--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -77,7 +77,7 @@
     store_follower store;
     link_hub links;
     std::unique_ptr<membership_service> membership;
-    std::unique_ptr<configuration_spread> spread;
+    std::unique_ptr<configuration_distributor> spread;
     std::unique_ptr<store_news> news;
     std::unique_ptr<pool_owner> owner;
     std::unique_ptr<quarantine_exchange> quarantine;
@@ -144,9 +144,9 @@
     membership = std::make_unique<membership_service>(context, links,
                                                       std::make_unique<seed_list>(settings.seeds),
                                                       self, membership_service::timing{}, seed);
-    spread = std::make_unique<configuration_spread>(context, links, *membership, state);
+    spread = std::make_unique<configuration_distributor>(context, links, *membership, state);
     spread->set_link_speed(settings.link_mbps);
-    spread->pause_while([this] { return store.is_reading_configuration(); });
+    spread->set_pause_condition([this] { return store.is_reading_configuration(); });
     news = std::make_unique<store_news>(context, links, *membership, forwarding, state, store, duty,
                                         *spread);
     owner = std::make_unique<pool_owner>(links, *membership, forwarding);
--- a/bamboostream/src/Gateway/peer_exchange.h
+++ b/bamboostream/src/Gateway/peer_exchange.h
@@ -21,7 +21,7 @@
 class peer_exchange final : public evacuation_peers {
 public:
     peer_exchange(boost::asio::io_context& context, link_hub& links, membership_service& membership,
-                  forwarding_state& forwarding, store_news& news, configuration_spread& spread,
+                  forwarding_state& forwarding, store_news& news, configuration_distributor& spread,
                   pool_owner& owner, quarantine_exchange& quarantine);
 
     void start();
@@ -46,7 +46,7 @@
     membership_service& membership_;
     forwarding_state& forwarding_;
     store_news& news_;
-    configuration_spread& spread_;
+    configuration_distributor& spread_;
     pool_owner& owner_;
     quarantine_exchange& quarantine_;
     boost::asio::steady_timer load_due_;
--- a/bamboostream/src/Gateway/store_news.cpp
+++ b/bamboostream/src/Gateway/store_news.cpp
@@ -52,7 +52,7 @@
 
 store_news::store_news(asio::io_context& context, link_hub& links, membership_service& membership,
                        forwarding_state& forwarding, deployment_state& state, store_follower& store,
-                       store_read_policy& duty, configuration_spread& spread)
+                       store_read_policy& duty, configuration_distributor& spread)
     : context_(context), links_(links), membership_(membership), forwarding_(forwarding),
       state_(state), store_(store), duty_(duty), spread_(spread), due_(context) {}
 
@@ -273,9 +273,9 @@
         duty_.record_view(teller, record_topic::operator_documents, *documents_as_of);
     }
     state_.take_cordons(cordons_from_wire(news.cordoned, news.documents_sequence));
-    spread_.hear_version(sender, news.configuration_version);
+    spread_.on_version_announced(sender, news.configuration_version);
     if (teller != sender) {
-        spread_.hear_version(teller, news.configuration_version);
+        spread_.on_version_announced(teller, news.configuration_version);
     }
     // Leaving is believed from anyone: it is never taken back.
     for (const auto& fact : news.changed) {
@@ -349,7 +349,7 @@
                 co_await ask_backends(peer);
             }
             if (is_stale(record_topic::operator_documents, monotonic_now())) {
-                spread_.ask_anybody(peer);
+                spread_.query_peer(peer);
                 co_await ask_cordons(peer);
             }
         }
--- a/bamboostream/src/Gateway/store_news.h
+++ b/bamboostream/src/Gateway/store_news.h
@@ -2,7 +2,7 @@
 
 #include "bamboostream/src/Control/membership_service.h"
 #include "bamboostream/src/Gateway/announcement_delay.h"
-#include "bamboostream/src/Gateway/configuration_spread.h"
+#include "bamboostream/src/Gateway/configuration_distributor.h"
 #include "bamboostream/src/Gateway/store_follower.h"
 #include "bamboostream/src/Links/link.h"
 
@@ -30,7 +30,7 @@
 public:
     store_news(boost::asio::io_context& context, link_hub& links, membership_service& membership,
                forwarding_state& forwarding, deployment_state& state, store_follower& store,
-               store_read_policy& duty, configuration_spread& spread);
+               store_read_policy& duty, configuration_distributor& spread);
 
     void start();
 
@@ -89,7 +89,7 @@
     deployment_state& state_;
     store_follower& store_;
     store_read_policy& duty_;
-    configuration_spread& spread_;
+    configuration_distributor& spread_;
     /// Changes that the others have not been told of.
     std::vector<registry_change> untold_;
     std::int64_t told_position_ = 0;
--- a/test/platform/configuration_spread_test.cpp
+++ b/test/platform/configuration_distributor_test.cpp
@@ -33,7 +33,7 @@
                        fmt::join(routes, ","));
 }
 
-class configuration_spread : public testing::Test {
+class configuration_distributor : public testing::Test {
 protected:
     void start(peer_group& group) {
         write(group, 1, 10);
@@ -77,7 +77,7 @@
 // without end. The operator writes 8,000 routes. The instance is told of the version and asks a
 // peer for it; over its link the document takes longer than it waits for an answer, and an answer
 // that comes late was thrown away and asked for again.
-TEST_F(configuration_spread, an_instance_without_the_store_takes_it_over_a_narrow_link) {
+TEST_F(configuration_distributor, an_instance_without_the_store_takes_it_over_a_narrow_link) {
     peer_group group(1, 2, link_mbps);
     start(group);
     peer_instance* reader = group.owners("store")[0];
@@ -96,7 +96,7 @@
 // again, so that the links were full and nobody got on.
 // Cause: nothing bounded what was under way to askers that had given up. Evidence: the readers'
 // links carried 25 MB a second and their memory grew from 24 to 520 MB, until they were ended.
-TEST_F(configuration_spread, all_take_it_at_the_same_moment) {
+TEST_F(configuration_distributor, all_take_it_at_the_same_moment) {
     constexpr int domains = 3;
     constexpr int instances_a_domain = 4;
     peer_group group(domains, instances_a_domain, link_mbps);
@@ -124,7 +124,7 @@
 // All instances start at the same moment, after all were lost. Those that read for all read the
 // configuration; the others, which had all read it whole while they should serve again, have it
 // from them.
-TEST_F(configuration_spread, a_start_of_all_reads_it_at_few) {
+TEST_F(configuration_distributor, a_start_of_all_reads_it_at_few) {
     constexpr int domains = 4;
     constexpr int instances_a_domain = 6;
     peer_group group(domains, instances_a_domain, link_mbps);
@@ -147,13 +147,13 @@
 // The store is being read for a version that others have told of, or one that has come is being
 // read beside the requests. Callers of an instance that looks again and again meanwhile wait for
 // its processor.
-TEST_F(configuration_spread, an_instance_that_waits_is_idle) {
+TEST_F(configuration_distributor, an_instance_that_waits_is_idle) {
     peer_group group(1, 2);
     start(group);
     peer_instance* other = group.owners("store")[1];
     other->store.turned_away = true;
     int looks = 0;
-    other->spread->pause_while([&looks] {
+    other->spread->set_pause_condition([&looks] {
         ++looks;
         return true;
     });
@@ -166,7 +166,7 @@
 }
 
 // Nobody else is there: callers of the only instance don't wait for one to hand anything on.
-TEST_F(configuration_spread, an_instance_alone_reads_at_once) {
+TEST_F(configuration_distributor, an_instance_alone_reads_at_once) {
     peer_group group(1, 1);
     write(group, 1, 10);
     group.all.front()->spread->start();
@@ -178,7 +178,7 @@
 // A large document is handed on over a small link. What comes behind it on that link is a probe
 // whose sender suspects who is late by 300 ms, or a choice of an engine that a caller waits for; in
 // one frame the document would hold it up for a second.
-TEST_F(configuration_spread, nothing_waits_behind_it) {
+TEST_F(configuration_distributor, nothing_waits_behind_it) {
     peer_group group(1, 2, link_mbps);
     start(group);
     peer_instance* reader = group.owners("store")[0];
--- a/test/platform/peer_group.cpp
+++ b/test/platform/peer_group.cpp
@@ -88,9 +88,9 @@
     membership = std::make_unique<membership_service>(
         context, links, std::make_unique<fixed_seeds>(std::move(seeds)), self, times,
         stable_hash(self.id.address));
-    spread = std::make_unique<configuration_spread>(context, links, *membership, state);
+    spread = std::make_unique<configuration_distributor>(context, links, *membership, state);
     spread->set_link_speed(link_mbps);
-    spread->pause_while([this] { return follower.is_reading_configuration(); });
+    spread->set_pause_condition([this] { return follower.is_reading_configuration(); });
     news = std::make_unique<store_news>(context, links, *membership, forwarding, state, follower,
                                         duty, *spread);
     state.read_beside(reader);
--- a/test/platform/peer_group.h
+++ b/test/platform/peer_group.h
@@ -73,7 +73,7 @@
     shared_store store;
     store_follower follower;
     std::unique_ptr<membership_service> membership;
-    std::unique_ptr<configuration_spread> spread;
+    std::unique_ptr<configuration_distributor> spread;
     std::unique_ptr<store_news> news;
     std::unique_ptr<pool_owner> owner;
     std::unique_ptr<quarantine_exchange> quarantine;
