--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -78,7 +78,7 @@
     link_hub links;
     std::unique_ptr<membership_service> membership;
     std::unique_ptr<configuration_distributor> spread;
-    std::unique_ptr<store_news> news;
+    std::unique_ptr<store_update_exchange> news;
     std::unique_ptr<pool_owner> owner;
     std::unique_ptr<quarantine_exchange> quarantine;
     std::unique_ptr<quarantine_keeper> keeper;
@@ -147,8 +147,8 @@
     spread = std::make_unique<configuration_distributor>(context, links, *membership, state);
     spread->set_link_speed(settings.link_mbps);
     spread->set_pause_condition([this] { return store.is_reading_configuration(); });
-    news = std::make_unique<store_news>(context, links, *membership, forwarding, state, store, duty,
-                                        *spread);
+    news = std::make_unique<store_update_exchange>(context, links, *membership, forwarding, state,
+                                                   store, duty, *spread);
     owner = std::make_unique<pool_owner>(links, *membership, forwarding);
     forwarding.scheduler = owner.get();
     quarantine =
--- a/bamboostream/src/Gateway/peer_exchange.cpp
+++ b/bamboostream/src/Gateway/peer_exchange.cpp
@@ -37,8 +37,8 @@
 
 peer_exchange::peer_exchange(asio::io_context& context, link_hub& links,
                              membership_service& membership, forwarding_state& forwarding,
-                             store_news& news, configuration_distributor& spread, pool_owner& owner,
-                             quarantine_exchange& quarantine)
+                             store_update_exchange& news, configuration_distributor& spread,
+                             pool_owner& owner, quarantine_exchange& quarantine)
     : context_(context), links_(links), membership_(membership), forwarding_(forwarding),
       news_(news), spread_(spread), owner_(owner), quarantine_(quarantine), load_due_(context) {}
 
--- a/bamboostream/src/Gateway/peer_exchange.h
+++ b/bamboostream/src/Gateway/peer_exchange.h
@@ -4,7 +4,7 @@
 #include "bamboostream/src/Control/quarantine_exchange.h"
 #include "bamboostream/src/Evacuation/evacuation_service.h"
 #include "bamboostream/src/Gateway/pool_owner.h"
-#include "bamboostream/src/Gateway/store_news.h"
+#include "bamboostream/src/Gateway/store_update_exchange.h"
 #include "bamboostream/src/Links/link.h"
 
 #include <boost/asio/awaitable.hpp>
@@ -17,12 +17,13 @@
 namespace bamboostream {
 
 /// What instances of the gateway tell each other: work under way, generations that move, and, by
-/// `store_news`, what the store says. Lives on one thread.
+/// `store_update_exchange`, what the store says. Lives on one thread.
 class peer_exchange final : public evacuation_peers {
 public:
     peer_exchange(boost::asio::io_context& context, link_hub& links, membership_service& membership,
-                  forwarding_state& forwarding, store_news& news, configuration_distributor& spread,
-                  pool_owner& owner, quarantine_exchange& quarantine);
+                  forwarding_state& forwarding, store_update_exchange& news,
+                  configuration_distributor& spread, pool_owner& owner,
+                  quarantine_exchange& quarantine);
 
     void start();
     /// Answers a frame of another instance.
@@ -45,7 +46,7 @@
     link_hub& links_;
     membership_service& membership_;
     forwarding_state& forwarding_;
-    store_news& news_;
+    store_update_exchange& news_;
     configuration_distributor& spread_;
     pool_owner& owner_;
     quarantine_exchange& quarantine_;
--- a/bamboostream/src/Gateway/store_news.cpp
+++ b/bamboostream/src/Gateway/store_update_exchange.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Gateway/store_news.h"
+#include "bamboostream/src/Gateway/store_update_exchange.h"
 
 #include "bamboostream/src/Control/frames.h"
 #include "bamboostream/src/Control/periodic.h"
@@ -50,28 +50,30 @@
 
 } // namespace
 
-store_news::store_news(asio::io_context& context, link_hub& links, membership_service& membership,
-                       forwarding_state& forwarding, deployment_state& state, store_follower& store,
-                       store_read_policy& duty, configuration_distributor& spread)
+store_update_exchange::store_update_exchange(asio::io_context& context, link_hub& links,
+                                             membership_service& membership,
+                                             forwarding_state& forwarding, deployment_state& state,
+                                             store_follower& store, store_read_policy& duty,
+                                             configuration_distributor& spread)
     : context_(context), links_(links), membership_(membership), forwarding_(forwarding),
       state_(state), store_(store), duty_(duty), spread_(spread), due_(context) {}
 
-void store_news::start() {
+void store_update_exchange::start() {
     started_at_ = monotonic_now();
     asio::co_spawn(context_, tell_loop(), asio::detached);
     asio::co_spawn(context_, catch_up_loop(), asio::detached);
     asio::co_spawn(context_, watch_loop(), asio::detached);
 }
 
-std::vector<std::string> store_news::reading_order() const {
+std::vector<std::string> store_update_exchange::reading_order() const {
     return membership_.owners("store", store_read_policy::order_length);
 }
 
-bool store_news::must_read(record_topic topic, time_point now) const {
+bool store_update_exchange::must_read(record_topic topic, time_point now) const {
     return duty_.must_read(topic, reading_order(), membership_.own_address(), now);
 }
 
-bool store_news::has_topic_from_peers(record_topic topic) const {
+bool store_update_exchange::has_topic_from_peers(record_topic topic) const {
     return topic == record_topic::operator_documents && state_.version() > 0 &&
            state_.cordons().position > 0;
 }
@@ -79,7 +81,7 @@
 /// A start of all would have every instance read the configuration at the same moment, whole, which
 /// keeps the links of small ones and the store busy while callers wait. From another instance it
 /// comes compressed, and only those that read for all ask the store.
-bool store_news::awaits_peers(record_topic topic, time_point now) const {
+bool store_update_exchange::awaits_peers(record_topic topic, time_point now) const {
     if (topic != record_topic::operator_documents) {
         return false;
     }
@@ -93,46 +95,46 @@
     return since < handing_on_at_start || spread_.is_receiving(now);
 }
 
-milliseconds store_news::read_wait(record_topic topic, time_point now) const {
+milliseconds store_update_exchange::read_wait(record_topic topic, time_point now) const {
     return duty_.read_wait(topic, reading_order(), membership_.own_address(), now);
 }
 
-bool store_news::must_read_configuration(time_point now) {
+bool store_update_exchange::must_read_configuration(time_point now) {
     return spread_.must_read_store(now);
 }
 
-store_read_role store_news::role() const {
+store_read_role store_update_exchange::role() const {
     return store_read_policy::role_of(reading_order(), membership_.own_address());
 }
 
-void store_news::on_store_answer() {
+void store_update_exchange::on_store_answer() {
     if (monotonic_now() - told_at_ >= news_gather) {
         due_.cancel();
     }
 }
 
-void store_news::note_change(const registry_change& change) {
+void store_update_exchange::note_change(const registry_change& change) {
     untold_.push_back(change);
     due_.cancel();
 }
 
-void store_news::note_cordons() {
+void store_update_exchange::note_cordons() {
     due_.cancel();
 }
 
-void store_news::note_configuration() {
+void store_update_exchange::note_configuration() {
     due_.cancel();
 }
 
 /// A change goes out at once: a leaving engine's generations have some 2 s to move.
-asio::awaitable<void> store_news::tell_loop() {
+asio::awaitable<void> store_update_exchange::tell_loop() {
     while (true) {
         co_await wait_on(due_, monotonic_now() + news_period);
         tell();
     }
 }
 
-void store_news::tell() {
+void store_update_exchange::tell() {
     const std::int64_t previous = std::exchange(told_position_, state_.entries().position());
     const std::vector<registry_change> changes = std::exchange(untold_, {});
     const time_point now = monotonic_now();
@@ -170,7 +172,7 @@
     send_to_all(std::move(news));
 }
 
-void store_news::send_to_all(wire::StoreNewsT news) {
+void store_update_exchange::send_to_all(wire::StoreNewsT news) {
     if (!membership_.has_many_peers()) {
         links_.send_to_each(membership_.usable_peers(), make_frame(std::move(news)));
         return;
@@ -192,7 +194,8 @@
 
 /// The ages stay as they were told: whoever hears it finds out by the teller's clock how long it
 /// was under way.
-void store_news::pass_on(const std::string& sender, std::int64_t stamp, wire::StoreNewsT news) {
+void store_update_exchange::pass_on(const std::string& sender, std::int64_t stamp,
+                                    wire::StoreNewsT news) {
     news.pass_on = false;
     news.teller = sender;
     news.teller_stamp = stamp;
@@ -201,7 +204,7 @@
 }
 
 /// What another instance knew some time ago is known here now that it has been told.
-void store_news::note_ages(const wire::StoreNewsT& news, time_point now) {
+void store_update_exchange::note_ages(const wire::StoreNewsT& news, time_point now) {
     const auto entries_as_of = moment_of(news.entries_age_ms, now);
     const auto documents_as_of = moment_of(news.documents_age_ms, now);
     if (entries_as_of && static_cast<std::int64_t>(news.sequence) <= state_.entries().position()) {
@@ -214,7 +217,7 @@
     }
 }
 
-asio::awaitable<void> store_news::watch_loop() {
+asio::awaitable<void> store_update_exchange::watch_loop() {
     while (true) {
         co_await pause_for(watch_period);
         const time_point now = monotonic_now();
@@ -226,7 +229,7 @@
     }
 }
 
-void store_news::watch_topic(record_topic topic, bool& stale, time_point now) const {
+void store_update_exchange::watch_topic(record_topic topic, bool& stale, time_point now) const {
     const bool entries = topic == record_topic::backend_entries;
     const duration age =
         entries ? forwarding_.entries_view.age(now) : forwarding_.documents_view.age(now);
@@ -237,13 +240,14 @@
     }
 }
 
-bool store_news::is_stale(record_topic topic, time_point now) const {
+bool store_update_exchange::is_stale(record_topic topic, time_point now) const {
     const view_age& view = topic == record_topic::backend_entries ? forwarding_.entries_view
                                                                   : forwarding_.documents_view;
     return view.age(now) > read_timing_of(topic).max_view_age;
 }
 
-void store_news::hear(const std::string& sender, std::int64_t stamp, const wire::StoreNewsT& news) {
+void store_update_exchange::hear(const std::string& sender, std::int64_t stamp,
+                                 const wire::StoreNewsT& news) {
     if (news.pass_on) {
         pass_on(sender, stamp, news);
     }
@@ -261,7 +265,8 @@
     take(sender, aged, monotonic_now());
 }
 
-void store_news::take(const std::string& sender, const wire::StoreNewsT& news, time_point now) {
+void store_update_exchange::take(const std::string& sender, const wire::StoreNewsT& news,
+                                 time_point now) {
     const std::string& teller = news.teller.empty() ? sender : news.teller;
     if (const auto as_of = moment_of(news.entries_age_ms, now)) {
         duty_.record_view(teller, record_topic::backend_entries, *as_of);
@@ -310,7 +315,7 @@
 }
 
 /// A telling was missed. Who follows the store itself finds what it was about there.
-void store_news::fill_gap(const std::string& teller, time_point now) {
+void store_update_exchange::fill_gap(const std::string& teller, time_point now) {
     if (store_.has_fresh_own_view(record_topic::backend_entries, now)) {
         return;
     }
@@ -321,7 +326,7 @@
     }
 }
 
-void store_news::forget_removed(const wire::StoreNewsT& news, time_point now) {
+void store_update_exchange::forget_removed(const wire::StoreNewsT& news, time_point now) {
     if (!state_.entries().accepts_removal(static_cast<std::int64_t>(news.sequence))) {
         return;
     }
@@ -339,7 +344,7 @@
     state_.report_changes(fact_source::telling, now);
 }
 
-asio::awaitable<void> store_news::catch_up_loop() {
+asio::awaitable<void> store_update_exchange::catch_up_loop() {
     while (true) {
         const std::vector<std::string> peers = membership_.usable_peers();
         if (!peers.empty()) {
@@ -357,8 +362,8 @@
     }
 }
 
-asio::awaitable<std::optional<wire::BackendListT>> store_news::ask_backend_page(std::string peer,
-                                                                                std::string after) {
+asio::awaitable<std::optional<wire::BackendListT>>
+store_update_exchange::ask_backend_page(std::string peer, std::string after) {
     wire::BackendListRequestT request;
     request.paged = true;
     request.after = std::move(after);
@@ -370,7 +375,7 @@
     co_return std::move(*reply->message.AsBackendList());
 }
 
-asio::awaitable<void> store_news::ask_cordons(std::string peer) {
+asio::awaitable<void> store_update_exchange::ask_cordons(std::string peer) {
     wire::BackendListRequestT request;
     request.paged = true;
     request.documents_only = true;
@@ -381,7 +386,7 @@
     }
 }
 
-void store_news::take_documents_view(const wire::BackendListT& list, time_point now) {
+void store_update_exchange::take_documents_view(const wire::BackendListT& list, time_point now) {
     state_.take_cordons(cordons_from_wire(list.cordoned, list.documents_sequence));
     const auto as_of = moment_of(list.documents_age_ms, now);
     const auto position = static_cast<std::int64_t>(list.documents_sequence);
@@ -396,7 +401,7 @@
 ///
 /// The pages are not of one moment. The list is complete up to the position of its first page; what
 /// later ones tell beyond that is told once more by the changes that follow.
-asio::awaitable<void> store_news::ask_backends(std::string peer) {
+asio::awaitable<void> store_update_exchange::ask_backends(std::string peer) {
     if (asking_for_all_) {
         co_return;
     }
@@ -439,7 +444,7 @@
 }
 
 std::unique_ptr<wire::FrameT>
-store_news::answer_backends(const wire::BackendListRequestT& request) const {
+store_update_exchange::answer_backends(const wire::BackendListRequestT& request) const {
     wire::BackendListT list;
     const time_point now = monotonic_now();
     list.fresh = !is_stale(record_topic::backend_entries, now);
--- a/bamboostream/src/Gateway/store_news.h
+++ b/bamboostream/src/Gateway/store_update_exchange.h
@@ -26,11 +26,12 @@
 /// What instances tell each other of the platform's store: that there is a newer configuration,
 /// backend servers, and how old the view of these is. Lives on one thread. See also
 /// `store_read_policy`.
-class store_news final : public read_coordinator {
+class store_update_exchange final : public read_coordinator {
 public:
-    store_news(boost::asio::io_context& context, link_hub& links, membership_service& membership,
-               forwarding_state& forwarding, deployment_state& state, store_follower& store,
-               store_read_policy& duty, configuration_distributor& spread);
+    store_update_exchange(boost::asio::io_context& context, link_hub& links,
+                          membership_service& membership, forwarding_state& forwarding,
+                          deployment_state& state, store_follower& store, store_read_policy& duty,
+                          configuration_distributor& spread);
 
     void start();
 
--- a/test/platform/peer_group.cpp
+++ b/test/platform/peer_group.cpp
@@ -91,8 +91,8 @@
     spread = std::make_unique<configuration_distributor>(context, links, *membership, state);
     spread->set_link_speed(link_mbps);
     spread->set_pause_condition([this] { return follower.is_reading_configuration(); });
-    news = std::make_unique<store_news>(context, links, *membership, forwarding, state, follower,
-                                        duty, *spread);
+    news = std::make_unique<store_update_exchange>(context, links, *membership, forwarding, state,
+                                                   follower, duty, *spread);
     state.read_beside(reader);
     state.on_cordon_change([this] { news->note_cordons(); });
     state.on_backend_change([this](const registry_change& change) { news->note_change(change); });
--- a/test/platform/peer_group.h
+++ b/test/platform/peer_group.h
@@ -74,7 +74,7 @@
     store_follower follower;
     std::unique_ptr<membership_service> membership;
     std::unique_ptr<configuration_distributor> spread;
-    std::unique_ptr<store_news> news;
+    std::unique_ptr<store_update_exchange> news;
     std::unique_ptr<pool_owner> owner;
     std::unique_ptr<quarantine_exchange> quarantine;
     std::unique_ptr<peer_exchange> peers;
