--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -79,7 +79,7 @@
     std::unique_ptr<membership_service> membership;
     std::unique_ptr<configuration_distributor> spread;
     std::unique_ptr<store_update_exchange> news;
-    std::unique_ptr<pool_owner> owner;
+    std::unique_ptr<owner_scheduler> owner;
     std::unique_ptr<quarantine_exchange> quarantine;
     std::unique_ptr<quarantine_keeper> keeper;
     std::unique_ptr<peer_exchange> peers;
@@ -149,7 +149,7 @@
     spread->set_pause_condition([this] { return store.is_reading_configuration(); });
     news = std::make_unique<store_update_exchange>(context, links, *membership, forwarding, state,
                                                    store, duty, *spread);
-    owner = std::make_unique<pool_owner>(links, *membership, forwarding);
+    owner = std::make_unique<owner_scheduler>(links, *membership, forwarding);
     forwarding.scheduler = owner.get();
     quarantine =
         std::make_unique<quarantine_exchange>(context, links, *membership, forwarding.quarantine);
--- a/bamboostream/src/Gateway/pool_owner.cpp
+++ b/bamboostream/src/Gateway/owner_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Gateway/pool_owner.h"
+#include "bamboostream/src/Gateway/owner_scheduler.h"
 
 #include "bamboostream/src/Control/frames.h"
 #include "bamboostream/src/Gateway/peer_frames.h"
@@ -22,16 +22,16 @@
 
 } // namespace
 
-std::vector<std::string> pool_owner::owners(const service_id& service) const {
+std::vector<std::string> owner_scheduler::owners(const service_id& service) const {
     return membership_.owners(service.text(), owners_a_service);
 }
 
-bool pool_owner::is_silent(const std::string& owner, time_point now) const {
+bool owner_scheduler::is_silent(const std::string& owner, time_point now) const {
     const auto found = silent_until_.find(owner);
     return found != silent_until_.end() && now < found->second;
 }
 
-std::vector<std::string> pool_owner::told_of_work() const {
+std::vector<std::string> owner_scheduler::load_report_recipients() const {
     std::set<std::string> out;
     if (forwarding_.routes) {
         for (const service_rule& service : forwarding_.routes->configuration().services) {
@@ -45,7 +45,7 @@
     return {out.begin(), out.end()};
 }
 
-void pool_owner::hear(const wire::LoadReportT& report, const std::string& sender) {
+void owner_scheduler::hear(const wire::LoadReportT& report, const std::string& sender) {
     const time_point now = monotonic_now();
     forwarding_.loads.hear(sender, from_wire(report), now);
     for (const backend_outcomes& seen : outcomes_from_wire(report)) {
@@ -61,7 +61,8 @@
     }
 }
 
-asio::awaitable<std::optional<engine_choice>> pool_owner::choose(const engine_request& request) {
+asio::awaitable<std::optional<engine_choice>>
+owner_scheduler::choose(const engine_request& request) {
     // The owner may not know of those yet.
     engine_request asked = request;
     for (const registered_backend* engine : forwarding_.registry.usable(request.service)) {
@@ -99,11 +100,11 @@
     co_return std::nullopt;
 }
 
-sender_role pool_owner::role(const service_id& service) const {
+sender_role owner_scheduler::role(const service_id& service) const {
     return forwarding_.cold_starts.role(service, monotonic_now());
 }
 
-void pool_owner::note_roles(time_point now) {
+void owner_scheduler::update_roles(time_point now) {
     if (!forwarding_.routes) {
         return;
     }
@@ -120,8 +121,8 @@
     }
 }
 
-std::unique_ptr<wire::FrameT> pool_owner::answer(const wire::AdmitRequestT& request,
-                                                 const std::string& sender) {
+std::unique_ptr<wire::FrameT> owner_scheduler::answer(const wire::AdmitRequestT& request,
+                                                      const std::string& sender) {
     const time_point now = monotonic_now();
     engine_request wanted = from_wire(request);
     const service_rule* service =
--- a/bamboostream/src/Gateway/pool_owner.h
+++ b/bamboostream/src/Gateway/owner_scheduler.h
@@ -27,9 +27,9 @@
 ///
 /// Telling every instance of each change instead costs the square of the instances, and choices by
 /// views of different ages crowd the same engines.
-class pool_owner final : public engine_scheduler {
+class owner_scheduler final : public engine_scheduler {
 public:
-    pool_owner(link_hub& links, membership_service& membership, forwarding_state& forwarding)
+    owner_scheduler(link_hub& links, membership_service& membership, forwarding_state& forwarding)
         : links_(links), membership_(membership), forwarding_(forwarding) {}
 
     boost::asio::awaitable<std::optional<engine_choice>>
@@ -41,9 +41,9 @@
     /// Takes what another instance tells of its work and of what became of it.
     void hear(const wire::LoadReportT& report, const std::string& sender);
     /// Looks which services' engines this instance chooses for all.
-    void note_roles(time_point now);
+    void update_roles(time_point now);
     /// The instances that must know of work at the engines; this one excluded.
-    std::vector<std::string> told_of_work() const;
+    std::vector<std::string> load_report_recipients() const;
 
 private:
     /// The owner and the deputy of a service's engines.
--- a/bamboostream/src/Gateway/peer_exchange.cpp
+++ b/bamboostream/src/Gateway/peer_exchange.cpp
@@ -38,7 +38,7 @@
 peer_exchange::peer_exchange(asio::io_context& context, link_hub& links,
                              membership_service& membership, forwarding_state& forwarding,
                              store_update_exchange& news, configuration_distributor& spread,
-                             pool_owner& owner, quarantine_exchange& quarantine)
+                             owner_scheduler& owner, quarantine_exchange& quarantine)
     : context_(context), links_(links), membership_(membership), forwarding_(forwarding),
       news_(news), spread_(spread), owner_(owner), quarantine_(quarantine), load_due_(context) {}
 
@@ -52,9 +52,9 @@
         const std::vector<backend_work_entry> own = forwarding_.loads.own();
         forwarding_.live_instances = membership_.usable_peers().size() + 1;
         forwarding_.cold_starts.note_instances(forwarding_.live_instances, monotonic_now());
-        owner_.note_roles(monotonic_now());
+        owner_.update_roles(monotonic_now());
         if (!own.empty() || !told_none) {
-            links_.send_to_each(owner_.told_of_work(),
+            links_.send_to_each(owner_.load_report_recipients(),
                                 make_frame(to_wire(own, forwarding_.engine_outcomes.take())));
         }
         told_none = own.empty();
--- a/bamboostream/src/Gateway/peer_exchange.h
+++ b/bamboostream/src/Gateway/peer_exchange.h
@@ -3,7 +3,7 @@
 #include "bamboostream/src/Control/membership_service.h"
 #include "bamboostream/src/Control/quarantine_exchange.h"
 #include "bamboostream/src/Evacuation/evacuation_service.h"
-#include "bamboostream/src/Gateway/pool_owner.h"
+#include "bamboostream/src/Gateway/owner_scheduler.h"
 #include "bamboostream/src/Gateway/store_update_exchange.h"
 #include "bamboostream/src/Links/link.h"
 
@@ -22,7 +22,7 @@
 public:
     peer_exchange(boost::asio::io_context& context, link_hub& links, membership_service& membership,
                   forwarding_state& forwarding, store_update_exchange& news,
-                  configuration_distributor& spread, pool_owner& owner,
+                  configuration_distributor& spread, owner_scheduler& owner,
                   quarantine_exchange& quarantine);
 
     void start();
@@ -48,7 +48,7 @@
     forwarding_state& forwarding_;
     store_update_exchange& news_;
     configuration_distributor& spread_;
-    pool_owner& owner_;
+    owner_scheduler& owner_;
     quarantine_exchange& quarantine_;
     boost::asio::steady_timer load_due_;
 };
--- a/test/platform/pool_owner_test.cpp
+++ b/test/platform/owner_scheduler_test.cpp
@@ -28,9 +28,9 @@
     return std::make_shared<const route_table>(configuration);
 }
 
-class pool_owner_test : public testing::Test {
+class owner_scheduler_test : public testing::Test {
 protected:
-    pool_owner_test() : order_(group_.owners("s")) {
+    owner_scheduler_test() : order_(group_.owners("s")) {
         for (const auto& it : group_.all) {
             it->forwarding.routes = one_service();
             for (int i = 0; i < engine_count; ++i) {
@@ -78,7 +78,7 @@
 
 // Two instances ask one right after the other, before either has told of its work. The owner counts
 // what it gave the first, so no engine is given twice while others are idle.
-TEST_F(pool_owner_test, counts_each_choice_at_once) {
+TEST_F(owner_scheduler_test, counts_each_choice_at_once) {
     std::set<std::string> given;
     for (int i = 0; i < engine_count / 2; ++i) {
         const auto choice = ask(i % 2 == 0 ? asker() : *order_[3], request());
@@ -91,7 +91,7 @@
 }
 
 // What an instance tells replaces what the owner expected of it, so nothing is counted twice.
-TEST_F(pool_owner_test, a_telling_replaces_what_was_expected) {
+TEST_F(owner_scheduler_test, a_telling_replaces_what_was_expected) {
     const auto choice = ask(asker(), request());
     ASSERT_TRUE(choice && choice->engine);
     const backend_id& id = choice->engine->id;
@@ -102,7 +102,7 @@
 }
 
 // All engines are full. The caller is refused by the owner's word, as it would be by one's own.
-TEST_F(pool_owner_test, says_when_no_engine_has_room) {
+TEST_F(owner_scheduler_test, says_when_no_engine_has_room) {
     for (int i = 0; i < engine_count; ++i) {
         owner().forwarding.loads.add(backend_id(fmt::format("i-{}", i)), {9, 60'000, 0});
     }
@@ -113,7 +113,7 @@
 
 // The owner is gone and its death not known yet. The deputy answers, and the next request doesn't
 // wait for the owner once more.
-TEST_F(pool_owner_test, the_deputy_answers_for_a_silent_owner) {
+TEST_F(owner_scheduler_test, the_deputy_answers_for_a_silent_owner) {
     group_.kill(owner());
     EXPECT_TRUE(ask(asker(), request()));
     EXPECT_EQ(asked(deputy()), 1);
@@ -125,7 +125,7 @@
 }
 
 // Nobody answers: the instance chooses by itself, after two short waits at most.
-TEST_F(pool_owner_test, without_an_answer_each_chooses_by_itself) {
+TEST_F(owner_scheduler_test, without_an_answer_each_chooses_by_itself) {
     group_.kill(owner());
     group_.kill(deputy());
     const time_point before = monotonic_now();
@@ -134,7 +134,7 @@
 }
 
 // The owner's view of the engines is older than the asker's, which knows that the engine leaves.
-TEST_F(pool_owner_test, an_engine_that_is_known_to_leave_is_not_taken) {
+TEST_F(owner_scheduler_test, an_engine_that_is_known_to_leave_is_not_taken) {
     for (int i = 0; i < engine_count; ++i) {
         asker().forwarding.registry.mark_leaving(backend_id(fmt::format("i-{}", i)));
     }
@@ -142,13 +142,13 @@
 }
 
 // The owner hasn't heard yet that a failure domain is out of service, the asker has.
-TEST_F(pool_owner_test, an_engine_of_a_cordoned_domain_is_not_taken) {
+TEST_F(owner_scheduler_test, an_engine_of_a_cordoned_domain_is_not_taken) {
     asker().forwarding.registry.set_cordoned({failure_domain_id("norra")});
     EXPECT_FALSE(ask(asker(), request()));
 }
 
 /// Engines that bear four requests a second while they are cold.
-class cold_engines : public pool_owner_test {
+class cold_engines : public owner_scheduler_test {
 protected:
     cold_engines() {
         const time_point settled = monotonic_now() - seconds(5);
@@ -158,7 +158,7 @@
             it->forwarding.routes = std::make_shared<const route_table>(configuration);
             it->forwarding.cold_starts.set_rules(cold_start_rules{1.0, 0.0});
             it->forwarding.cold_starts.note_instances(group_.all.size(), settled);
-            it->owner->note_roles(settled);
+            it->owner->update_roles(settled);
         }
     }
     void make_cold(int engines) {
@@ -203,7 +203,7 @@
 
 // An engine refuses at once whatever it is sent, so it looks idle. Those that sent there tell the
 // owner with their work, and callers are sent elsewhere until it serves again.
-TEST_F(pool_owner_test, an_engine_that_fails_others_gets_little) {
+TEST_F(owner_scheduler_test, an_engine_that_fails_others_gets_little) {
     const backend_id failing("i-7");
     for (const auto& it : group_.all) {
         for (int i = 0; i < engine_count; ++i) {
@@ -229,7 +229,7 @@
 
 // Whoever passes a generation on sees how long its prompt took to be read, and tells those that
 // choose engines.
-TEST_F(pool_owner_test, reading_is_told_to_the_owner) {
+TEST_F(owner_scheduler_test, reading_is_told_to_the_owner) {
     const backend_id slow("i-3");
     for (int i = 0; i < 30; ++i) {
         asker().forwarding.engine_outcomes.note_reading(slow, {3'000.0, 3'000.0});
@@ -241,11 +241,12 @@
 }
 
 // Work is told to the owner and its deputy only, and by these to each other.
-TEST_F(pool_owner_test, only_the_owners_are_told_of_work) {
-    const std::vector<std::string> told = asker().owner->told_of_work();
+TEST_F(owner_scheduler_test, only_the_owners_are_told_of_work) {
+    const std::vector<std::string> told = asker().owner->load_report_recipients();
     EXPECT_EQ((std::set<std::string>(told.begin(), told.end())),
               (std::set<std::string>{owner().address(), deputy().address()}));
-    EXPECT_EQ(owner().owner->told_of_work(), std::vector<std::string>{deputy().address()});
+    EXPECT_EQ(owner().owner->load_report_recipients(),
+              std::vector<std::string>{deputy().address()});
 }
 
 } // namespace
--- a/test/platform/peer_group.cpp
+++ b/test/platform/peer_group.cpp
@@ -96,7 +96,7 @@
     state.read_beside(reader);
     state.on_cordon_change([this] { news->note_cordons(); });
     state.on_backend_change([this](const registry_change& change) { news->note_change(change); });
-    owner = std::make_unique<pool_owner>(links, *membership, forwarding);
+    owner = std::make_unique<owner_scheduler>(links, *membership, forwarding);
     quarantine =
         std::make_unique<quarantine_exchange>(context, links, *membership, forwarding.quarantine);
     forwarding.quarantine.on_evidence([this](const harm_evidence& it) { quarantine->note(it); });
--- a/test/platform/peer_group.h
+++ b/test/platform/peer_group.h
@@ -75,7 +75,7 @@
     std::unique_ptr<membership_service> membership;
     std::unique_ptr<configuration_distributor> spread;
     std::unique_ptr<store_update_exchange> news;
-    std::unique_ptr<pool_owner> owner;
+    std::unique_ptr<owner_scheduler> owner;
     std::unique_ptr<quarantine_exchange> quarantine;
     std::unique_ptr<peer_exchange> peers;
     /// What readers of the store tell doesn't arrive, all else does.
