--- a/bamboostream/src/Gateway/deployment_contract.h
+++ b/bamboostream/src/Gateway/deployment_contract.h
@@ -64,9 +64,9 @@
 
 /// The product's own records in the platform's store, which survive the end of all instances. The
 /// store keeps the newest record of each key.
-class kept_records {
+class persistent_records {
 public:
-    virtual ~kept_records() = default;
+    virtual ~persistent_records() = default;
     virtual boost::asio::awaitable<std::optional<std::vector<keyed_record>>>
     read_all(store_failure& why) = 0;
     /// An empty value removes the key. False when the store may not have taken it.
--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -7,7 +7,7 @@
 #include "bamboostream/src/Forwarding/forwarded_call.h"
 #include "bamboostream/src/Gateway/gateway_metrics.h"
 #include "bamboostream/src/Gateway/peer_exchange.h"
-#include "bamboostream/src/Gateway/quarantine_keeper.h"
+#include "bamboostream/src/Gateway/quarantine_persister.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -81,7 +81,7 @@
     std::unique_ptr<store_update_exchange> news;
     std::unique_ptr<owner_scheduler> owner;
     std::unique_ptr<quarantine_exchange> quarantine;
-    std::unique_ptr<quarantine_keeper> keeper;
+    std::unique_ptr<quarantine_persister> keeper;
     std::unique_ptr<peer_exchange> peers;
     std::unique_ptr<evacuation_service> evacuation;
     std::vector<std::unique_ptr<http_server>> servers;
@@ -153,8 +153,8 @@
     forwarding.scheduler = owner.get();
     quarantine =
         std::make_unique<quarantine_exchange>(context, links, *membership, forwarding.quarantine);
-    keeper = std::make_unique<quarantine_keeper>(context, contracts.kept, *membership,
-                                                 forwarding.quarantine);
+    keeper = std::make_unique<quarantine_persister>(context, contracts.kept, *membership,
+                                                    forwarding.quarantine);
     peers = std::make_unique<peer_exchange>(context, links, *membership, forwarding, *news, *spread,
                                             *owner, *quarantine);
     evacuation = std::make_unique<evacuation_service>(context, forwarding, contracts.mover, *peers);
--- a/bamboostream/src/Gateway/gateway.h
+++ b/bamboostream/src/Gateway/gateway.h
@@ -69,7 +69,7 @@
     const record_codec& records;
     const directory_codec& directory;
     record_store& store;
-    kept_records& kept;
+    persistent_records& kept;
     generation_mover& mover;
 };
 
--- a/bamboostream/src/Gateway/quarantine_keeper.cpp
+++ b/bamboostream/src/Gateway/quarantine_persister.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Gateway/quarantine_keeper.h"
+#include "bamboostream/src/Gateway/quarantine_persister.h"
 
 #include "bamboostream/src/Contracts/json_reader.h"
 #include "bamboostream/src/Control/periodic.h"
@@ -71,18 +71,18 @@
     return out;
 }
 
-quarantine_keeper::quarantine_keeper(asio::io_context& context, kept_records& store,
-                                     const membership_service& membership,
-                                     quarantine_registry& quarantine)
+quarantine_persister::quarantine_persister(asio::io_context& context, persistent_records& store,
+                                           const membership_service& membership,
+                                           quarantine_registry& quarantine)
     : context_(context), store_(store), membership_(membership), quarantine_(quarantine),
       due_(context) {}
 
-void quarantine_keeper::start() {
+void quarantine_persister::start() {
     asio::co_spawn(context_, restore(), asio::detached);
     asio::co_spawn(context_, write_loop(), asio::detached);
 }
 
-void quarantine_keeper::note_change(const request_digest& request) {
+void quarantine_persister::note_change(const request_digest& request) {
     if (quarantine_.holds(request) == stored_.contains(request) ||
         !is_among(membership_.owners(request.text(), writers), membership_.own_address())) {
         return;
@@ -91,7 +91,7 @@
     due_.cancel();
 }
 
-asio::awaitable<void> quarantine_keeper::restore() {
+asio::awaitable<void> quarantine_persister::restore() {
     co_await pause_for(first_contact);
     const auto order = membership_.owners("store", store_read_policy::order_length);
     if (!is_among(order, membership_.own_address())) {
@@ -108,7 +108,7 @@
     }
 }
 
-void quarantine_keeper::take(std::span<const keyed_record> records) {
+void quarantine_persister::take(std::span<const keyed_record> records) {
     const time_point now = monotonic_now();
     for (const keyed_record& record : records) {
         const auto evidence = read_evidence(record, now, wall_now());
@@ -122,7 +122,7 @@
     }
 }
 
-asio::awaitable<void> quarantine_keeper::write_loop() {
+asio::awaitable<void> quarantine_persister::write_loop() {
     while (true) {
         if (unwritten_.empty()) {
             co_await wait_on(due_, monotonic_now() + idle_wait);
@@ -138,7 +138,7 @@
 }
 
 /// True when the store has what is known here.
-asio::awaitable<bool> quarantine_keeper::write(request_digest request) {
+asio::awaitable<bool> quarantine_persister::write(request_digest request) {
     const bool held = quarantine_.holds(request);
     keyed_record record{request.text(), {}};
     if (held) {
--- a/bamboostream/src/Gateway/quarantine_keeper.h
+++ b/bamboostream/src/Gateway/quarantine_persister.h
@@ -31,10 +31,10 @@
 /// remove it on release. After a start the instances that read the store for all read these
 /// records; the others learn them through `quarantine_exchange`. A failed write is repeated until
 /// the store has what is known here. Lives on one thread.
-class quarantine_keeper {
+class quarantine_persister {
 public:
-    quarantine_keeper(boost::asio::io_context& context, kept_records& store,
-                      const membership_service& membership, quarantine_registry& quarantine);
+    quarantine_persister(boost::asio::io_context& context, persistent_records& store,
+                         const membership_service& membership, quarantine_registry& quarantine);
 
     void start();
     /// A request is held from now on, or no longer.
@@ -47,7 +47,7 @@
     boost::asio::awaitable<bool> write(request_digest request);
 
     boost::asio::io_context& context_;
-    kept_records& store_;
+    persistent_records& store_;
     const membership_service& membership_;
     quarantine_registry& quarantine_;
     /// Held requests that the store has, as far as this instance knows.
--- a/test/platform/quarantine_keeper_test.cpp
+++ b/test/platform/quarantine_persister_test.cpp
@@ -13,7 +13,7 @@
 constexpr std::int64_t wall = 1'790'000'000'000;
 
 /// Kept records in memory.
-class memory_records final : public kept_records {
+class memory_records final : public persistent_records {
 public:
     asio::awaitable<std::optional<std::vector<keyed_record>>>
     read_all(store_failure& why) override {
@@ -86,11 +86,11 @@
     EXPECT_EQ(to_milliseconds(later - read->front().at), 5'700.0);
 }
 
-class quarantine_keeper_test : public testing::Test {
+class quarantine_persister_test : public testing::Test {
 protected:
-    quarantine_keeper_test() : group_(2, 3) {
+    quarantine_persister_test() : group_(2, 3) {
         for (const auto& it : group_.all) {
-            keepers_.push_back(std::make_unique<quarantine_keeper>(
+            keepers_.push_back(std::make_unique<quarantine_persister>(
                 group_.context, store_, *it->membership, it->forwarding.quarantine));
             it->forwarding.quarantine.on_change(
                 [keeper = keepers_.back().get()](const request_digest& request) {
@@ -118,11 +118,11 @@
 
     memory_records store_;
     peer_group group_;
-    std::vector<std::unique_ptr<quarantine_keeper>> keepers_;
+    std::vector<std::unique_ptr<quarantine_persister>> keepers_;
 };
 
 // Guards against a record that every instance writes, or that outlasts the release.
-TEST_F(quarantine_keeper_test, two_instances_write_and_remove_the_record) {
+TEST_F(quarantine_persister_test, two_instances_write_and_remove_the_record) {
     start_keepers();
     hold();
     group_.run_for(milliseconds(400));
@@ -135,7 +135,7 @@
 }
 
 // Guards against a request that is forgotten because the store was away when it was held.
-TEST_F(quarantine_keeper_test, the_record_is_written_once_the_store_is_back) {
+TEST_F(quarantine_persister_test, the_record_is_written_once_the_store_is_back) {
     store_.away = true;
     start_keepers();
     hold();
@@ -147,7 +147,7 @@
 }
 
 // Guards against instances that forget, after a start of all, what the store has.
-TEST_F(quarantine_keeper_test, a_start_of_all_knows_what_the_store_has) {
+TEST_F(quarantine_persister_test, a_start_of_all_knows_what_the_store_has) {
     std::vector<harm_evidence> evidence;
     const time_point now = monotonic_now();
     for (std::uint64_t server = 1; server <= 3; ++server) {
