--- a/bamboostream/src/Gateway/configuration_distributor.cpp
+++ b/bamboostream/src/Gateway/configuration_distributor.cpp
@@ -122,13 +122,13 @@
     being_read_ = true;
     state_.take_configuration(
         std::move(*text), sender,
-        [this, received = encoded](document_verdict verdict) { note_judged(received, verdict); });
+        [this, received = encoded](document_result verdict) { note_judged(received, verdict); });
 }
 
 void configuration_distributor::note_judged(const encoded_document& received,
-                                            document_verdict verdict) {
+                                            document_result verdict) {
     being_read_ = false;
-    if (verdict == document_verdict::rejected) {
+    if (verdict == document_result::rejected) {
         fetch_.reject(received.version);
     }
     follow_state();
--- a/bamboostream/src/Gateway/configuration_distributor.h
+++ b/bamboostream/src/Gateway/configuration_distributor.h
@@ -57,7 +57,7 @@
     /// Notices what has come into force here, from wherever.
     void follow_state();
     void finish(const std::string& sender);
-    void note_judged(const encoded_document& received, document_verdict verdict);
+    void note_judged(const encoded_document& received, document_result verdict);
 
     boost::asio::io_context& context_;
     link_hub& links_;
--- a/bamboostream/src/Gateway/deployment_state.cpp
+++ b/bamboostream/src/Gateway/deployment_state.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-std::string_view to_string(fact_source source) {
+std::string_view to_string(update_source source) {
     constexpr std::array<std::string_view, 5> names = {"store", "peer_list", "telling", "grace",
                                                        "server"};
     return names.at(static_cast<std::size_t>(source));
@@ -48,12 +48,12 @@
                                           document_listener judged) {
     unread_document taken{nullptr, std::string(origin), {std::move(judged)}};
     if (document_ && text == *document_) {
-        taken.settle(document_verdict::not_newer);
+        taken.settle(document_result::not_newer);
         return;
     }
     if (text.size() > most_document_bytes) {
         reject(origin, "too large");
-        taken.settle(document_verdict::rejected);
+        taken.settle(document_result::rejected);
         return;
     }
     for (unread_document& waiting : unread_) {
@@ -71,11 +71,11 @@
         const auto oldest = unread_.begin() + 1;
         const unread_document dropped = std::move(*oldest);
         unread_.erase(oldest);
-        dropped.settle(document_verdict::given_up);
+        dropped.settle(document_result::superseded);
     }
 }
 
-void deployment_state::unread_document::settle(document_verdict verdict) const {
+void deployment_state::unread_document::settle(document_result verdict) const {
     for (const document_listener& listener : judged) {
         if (listener) {
             listener(verdict);
@@ -103,15 +103,15 @@
          why);
 }
 
-document_verdict deployment_state::judge(const unread_document& document,
-                                         std::shared_ptr<const route_table> table,
-                                         const std::string& why) {
+document_result deployment_state::judge(const unread_document& document,
+                                        std::shared_ptr<const route_table> table,
+                                        const std::string& why) {
     if (!table) {
         reject(document.origin, why);
-        return document_verdict::rejected;
+        return document_result::rejected;
     }
     if (table->configuration().version <= version_) {
-        return document_verdict::not_newer;
+        return document_result::not_newer;
     }
     version_ = table->configuration().version;
     document_ = document.text;
@@ -121,11 +121,11 @@
     if (configuration_listener_) {
         configuration_listener_(forwarding_.routes->configuration());
     }
-    return document_verdict::in_force;
+    return document_result::in_force;
 }
 
-void deployment_state::take_records(record_topic topic, std::span<const keyed_record> records,
-                                    bool all, time_point now) {
+void deployment_state::apply_records(record_topic topic, std::span<const keyed_record> records,
+                                     bool all, time_point now) {
     if (topic == record_topic::backend_entries) {
         take_entries(records, all, now);
         return;
@@ -146,8 +146,8 @@
     }
 }
 
-void deployment_state::take_cordon_records(std::span<const keyed_record> records, bool all,
-                                           std::int64_t position) {
+void deployment_state::apply_cordon_records(std::span<const keyed_record> records, bool all,
+                                            std::int64_t position) {
     cordoned_domains known{all ? std::set<failure_domain_id>{} : cordons_.domains, position};
     for (const keyed_record& record : records) {
         const auto domain = codec_.cordoned_domain(record.key);
@@ -164,7 +164,7 @@
     set_cordons(std::move(known), "store");
 }
 
-void deployment_state::take_cordons(const cordoned_domains& told) {
+void deployment_state::apply_peer_cordons(const cordoned_domains& told) {
     if (told.position > cordons_.position) {
         set_cordons(told, "peer");
     }
@@ -214,11 +214,11 @@
     if (all) {
         forwarding_.registry.learn_all(entries, unreadable, now);
     }
-    report_changes(fact_source::store, now);
+    report_changes(update_source::store, now);
 }
 
-void deployment_state::take_peer_backends(std::span<const peer_backend> entries,
-                                          std::int64_t position, time_point now) {
+void deployment_state::apply_peer_backends(std::span<const peer_backend> entries,
+                                           std::int64_t position, time_point now) {
     for (const peer_backend& entry : entries) {
         if (entry.backend.leaving) {
             forwarding_.registry.mark_leaving(entry.backend.id, entry.backend.started_ms);
@@ -229,7 +229,7 @@
         entries_.set_position(position);
         forwarding_.registry.learn_from_peer(entries, now);
     }
-    report_changes(fact_source::peer_list, now);
+    report_changes(update_source::peer_list, now);
 }
 
 void deployment_state::note_view(record_topic topic, time_point as_of, time_point now) {
@@ -237,12 +237,12 @@
         forwarding_.documents_view.known(as_of);
         return;
     }
-    watch_outage(now);
+    update_outage(now);
     forwarding_.entries_view.known(as_of);
-    watch_outage(now);
+    update_outage(now);
 }
 
-void deployment_state::watch_outage(time_point now) {
+void deployment_state::update_outage(time_point now) {
     const view_age& view = forwarding_.entries_view;
     if (!view.ever_known()) {
         return;
@@ -254,7 +254,7 @@
     }
 }
 
-void deployment_state::report_changes(fact_source source, time_point now) {
+void deployment_state::report_changes(update_source source, time_point now) {
     for (const registry_change& change : forwarding_.registry.take_changes()) {
         const registered_backend& backend = change.backend;
         log_event(event_of(change.event),
--- a/bamboostream/src/Gateway/deployment_state.h
+++ b/bamboostream/src/Gateway/deployment_state.h
@@ -20,14 +20,14 @@
 /// Who said what changed the view of the backend servers: the store itself, another instance's
 /// whole list, another instance's telling of changes, the end of the wait for a lapsed entry, or
 /// the server.
-enum class fact_source : std::uint8_t { store, peer_list, telling, grace, server };
+enum class update_source : std::uint8_t { store, peer_list, announcement, grace, server };
 
 /// What became of a configuration document: it may be no newer than the one in force, or given up
 /// unread because newer ones waited behind it.
-enum class document_verdict : std::uint8_t { in_force, not_newer, rejected, given_up };
+enum class document_result : std::uint8_t { in_force, not_newer, rejected, superseded };
 
 /// The name of a source in logs.
-std::string_view to_string(fact_source source);
+std::string_view to_string(update_source source);
 
 /// What an instance believes of the operator's configuration and the backend servers, from the
 /// store and from other instances. Lives on one thread.
@@ -46,9 +46,9 @@
         backend_listener_ = std::move(listener);
     }
 
-    using document_listener = std::function<void(document_verdict)>;
+    using document_listener = std::function<void(document_result)>;
     /// Configurations are read by `reader` from now on; otherwise at once, where they are taken.
-    void read_beside(configuration_reader& reader) { reader_ = &reader; }
+    void set_reader(configuration_reader& reader) { reader_ = &reader; }
     /// Takes a configuration document, from the store or a peer, unless a newer one is in force: a
     /// store that has lost its newest records, or a peer that lags, must not bring an old one back.
     /// `judged` is called once that is settled.
@@ -57,24 +57,24 @@
     /// The newest configuration that is known to be in force somewhere.
     void note_told_configuration(std::int64_t version) { forwarding_.told_configuration = version; }
     /// Takes records of a topic; `all` says that they are the newest of every key.
-    void take_records(record_topic topic, std::span<const keyed_record> records, bool all,
-                      time_point now);
+    void apply_records(record_topic topic, std::span<const keyed_record> records, bool all,
+                       time_point now);
     /// Takes the cordons among records of the operator's documents, which end at `position`; `all`
     /// says that they are the newest of every key.
-    void take_cordon_records(std::span<const keyed_record> records, bool all,
-                             std::int64_t position);
+    void apply_cordon_records(std::span<const keyed_record> records, bool all,
+                              std::int64_t position);
     /// Takes the cordons as another instance knows them, unless as much is known here.
-    void take_cordons(const cordoned_domains& told);
+    void apply_peer_cordons(const cordoned_domains& told);
     /// Takes another instance's list of entries, which is complete up to `position` of the store's
     /// topic. One that is no further than what is known here says nothing new.
-    void take_peer_backends(std::span<const peer_backend> entries, std::int64_t position,
-                            time_point now);
+    void apply_peer_backends(std::span<const peer_backend> entries, std::int64_t position,
+                             time_point now);
     /// What the store said of the topic at `as_of` is known here.
     void note_view(record_topic topic, time_point as_of, time_point now);
     /// Judges by the age of the view whether the store is away.
-    void watch_outage(time_point now);
+    void update_outage(time_point now);
     /// Logs and passes on what has changed in the registry.
-    void report_changes(fact_source source, time_point now);
+    void report_changes(update_source source, time_point now);
 
     /// How far the entries of the store are known here.
     change_cursor& entries() { return entries_; }
@@ -99,11 +99,11 @@
         std::string origin;
         std::vector<document_listener> judged;
 
-        void settle(document_verdict verdict) const;
+        void settle(document_result verdict) const;
     };
     void read_next();
-    document_verdict judge(const unread_document& document,
-                           std::shared_ptr<const route_table> table, const std::string& why);
+    document_result judge(const unread_document& document, std::shared_ptr<const route_table> table,
+                          const std::string& why);
     void reject(std::string_view origin, std::string_view why);
     void set_cordons(cordoned_domains cordons, std::string_view origin);
     void reject_key(const std::string& key);
--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -158,7 +158,7 @@
     peers = std::make_unique<peer_exchange>(context, links, *membership, forwarding, *news, *spread,
                                             *owner, *quarantine);
     evacuation = std::make_unique<evacuation_service>(context, forwarding, contracts.mover, *peers);
-    state.read_beside(reader);
+    state.set_reader(reader);
     state.on_new_configuration([this](const routing_configuration& c) { take_configuration(c); });
     state.on_cordon_change([this] { news->note_cordons(); });
     state.on_backend_change([this](const registry_change& change) {
@@ -180,7 +180,7 @@
     forwarding.on_generation_change = [this] { peers->note_load(); };
     connect_quarantine();
     forwarding.on_registry_change = [this] {
-        state.report_changes(fact_source::server, monotonic_now());
+        state.report_changes(update_source::server, monotonic_now());
     };
 }
 
--- a/bamboostream/src/Gateway/store_follower.cpp
+++ b/bamboostream/src/Gateway/store_follower.cpp
@@ -135,7 +135,7 @@
     const bool documents = position.topic == record_topic::operator_documents;
     if (documents) {
         // Versions tell configurations apart, whatever their order.
-        state_.take_records(position.topic, page.records, all, now);
+        state_.apply_records(position.topic, page.records, all, now);
     }
     const std::int64_t known = state_.position(position.topic);
     if (page.next < known && (!all || known_before <= page.next)) {
@@ -148,11 +148,11 @@
             static_cast<std::size_t>(std::clamp<std::int64_t>(known - first, 0, count)));
     }
     if (documents) {
-        state_.take_cordon_records(fresh, all, page.next);
+        state_.apply_cordon_records(fresh, all, page.next);
         return;
     }
     state_.entries().set_position(page.next);
-    state_.take_records(position.topic, fresh, all, now);
+    state_.apply_records(position.topic, fresh, all, now);
     entries_reread_requested_ = false;
 }
 
--- a/bamboostream/src/Gateway/store_update_exchange.cpp
+++ b/bamboostream/src/Gateway/store_update_exchange.cpp
@@ -221,9 +221,9 @@
     while (true) {
         co_await pause_for(watch_period);
         const time_point now = monotonic_now();
-        state_.watch_outage(now);
+        state_.update_outage(now);
         forwarding_.registry.expire(now);
-        state_.report_changes(fact_source::grace, now);
+        state_.report_changes(update_source::grace, now);
         watch_topic(record_topic::backend_entries, entries_stale_, now);
         watch_topic(record_topic::operator_documents, documents_stale_, now);
     }
@@ -277,7 +277,7 @@
     if (documents_as_of && news.documents_sequence > 0) {
         duty_.record_view(teller, record_topic::operator_documents, *documents_as_of);
     }
-    state_.take_cordons(cordons_from_wire(news.cordoned, news.documents_sequence));
+    state_.apply_peer_cordons(cordons_from_wire(news.cordoned, news.documents_sequence));
     spread_.on_version_announced(sender, news.configuration_version);
     if (teller != sender) {
         spread_.on_version_announced(teller, news.configuration_version);
@@ -288,7 +288,7 @@
             forwarding_.registry.mark_leaving(backend_id(fact->id), fact->started_ms);
         }
     }
-    state_.report_changes(fact_source::telling, now);
+    state_.report_changes(update_source::announcement, now);
     const auto change_action = state_.entries().evaluate(static_cast<std::int64_t>(news.previous),
                                                          static_cast<std::int64_t>(news.sequence));
     note_ages(news, now);
@@ -311,7 +311,7 @@
             forwarding_.registry.learn(from_wire(*fact, now), now);
         }
     }
-    state_.report_changes(fact_source::telling, now);
+    state_.report_changes(update_source::announcement, now);
 }
 
 /// A telling was missed. Who follows the store itself finds what it was about there.
@@ -341,7 +341,7 @@
             forwarding_.registry.remove(backend_id(id), now);
         }
     }
-    state_.report_changes(fact_source::telling, now);
+    state_.report_changes(update_source::announcement, now);
 }
 
 asio::awaitable<void> store_update_exchange::catch_up_loop() {
@@ -387,7 +387,7 @@
 }
 
 void store_update_exchange::take_documents_view(const wire::BackendListT& list, time_point now) {
-    state_.take_cordons(cordons_from_wire(list.cordoned, list.documents_sequence));
+    state_.apply_peer_cordons(cordons_from_wire(list.cordoned, list.documents_sequence));
     const auto as_of = moment_of(list.documents_age_ms, now);
     const auto position = static_cast<std::int64_t>(list.documents_sequence);
     if (as_of && position > 0 && position <= state_.cordons().position &&
@@ -436,7 +436,7 @@
     }
     const auto position = static_cast<std::int64_t>(first->sequence);
     const time_point now = monotonic_now();
-    state_.take_peer_backends(entries, position, now);
+    state_.apply_peer_backends(entries, position, now);
     const auto as_of = moment_of(first->age_ms, first_page_at);
     if (as_of && position <= state_.entries().position()) {
         state_.note_view(record_topic::backend_entries, *as_of, now);
--- a/test/platform/configuration_reader_test.cpp
+++ b/test/platform/configuration_reader_test.cpp
@@ -28,10 +28,10 @@
     return out;
 }
 
-class read_beside : public testing::TestWithParam<order_row> {
+class set_reader : public testing::TestWithParam<order_row> {
 protected:
-    read_beside() : forwarding_(requests_, failure_domain_id("z"), {}, 1) {
-        state_.read_beside(reader_);
+    set_reader() : forwarding_(requests_, failure_domain_id("z"), {}, 1) {
+        state_.set_reader(reader_);
     }
     void run_until_judged(std::size_t count) {
         const time_point limit = monotonic_now() + seconds(10);
@@ -52,7 +52,7 @@
 };
 
 INSTANTIATE_TEST_SUITE_P(
-    table, read_beside,
+    table, set_reader,
     testing::Values(
         order_row{"one", {with_version(5)}, 5, 0},
         order_row{"newer_after_older", {with_version(5), with_version(6)}, 6, 0},
@@ -69,12 +69,12 @@
 
 // Versions come faster than they can be read, from the store and from peers. Requests go on by the
 // one in force; whoever gave one away learns when it is settled; the newest is in force in the end.
-TEST_P(read_beside, the_newest_is_in_force_in_the_end) {
+TEST_P(set_reader, the_newest_is_in_force_in_the_end) {
     const order_row& row = GetParam();
     for (const std::string& text : row.taken) {
-        state_.take_configuration(text, "peer", [this](document_verdict verdict) {
+        state_.take_configuration(text, "peer", [this](document_result verdict) {
             ++judged_;
-            rejected_ += verdict == document_verdict::rejected ? 1 : 0;
+            rejected_ += verdict == document_result::rejected ? 1 : 0;
         });
     }
     EXPECT_EQ(state_.version(), 0);
--- a/test/platform/cordon_test.cpp
+++ b/test/platform/cordon_test.cpp
@@ -93,9 +93,9 @@
             told.domains.emplace(name);
         }
         if (said.from == "told") {
-            state_.take_cordons(told);
+            state_.apply_peer_cordons(told);
         } else {
-            state_.take_cordon_records(records, said.from == "all", said.position);
+            state_.apply_cordon_records(records, said.from == "all", said.position);
         }
     }
 
@@ -150,7 +150,7 @@
 TEST_F(cordon_words, unknown_keys_are_counted_once) {
     const std::vector<keyed_record> records = {{"evacuate/", "{}"}, {"stop/norra", "{}"}};
     for (int i = 0; i < 3; ++i) {
-        state_.take_cordon_records(records, true, 2);
+        state_.apply_cordon_records(records, true, 2);
     }
     EXPECT_EQ(state_.rejected_documents(), 2u);
 }
--- a/test/platform/peer_group.cpp
+++ b/test/platform/peer_group.cpp
@@ -93,7 +93,7 @@
     spread->set_pause_condition([this] { return follower.is_reading_configuration(); });
     news = std::make_unique<store_update_exchange>(context, links, *membership, forwarding, state,
                                                    follower, duty, *spread);
-    state.read_beside(reader);
+    state.set_reader(reader);
     state.on_cordon_change([this] { news->note_cordons(); });
     state.on_backend_change([this](const registry_change& change) { news->note_change(change); });
     owner = std::make_unique<owner_scheduler>(links, *membership, forwarding);
--- a/test/platform/store_view_test.cpp
+++ b/test/platform/store_view_test.cpp
@@ -351,7 +351,7 @@
         for (const char* id : {"a", "b"}) {
             forwarding_.registry.learn(backend(id), start);
         }
-        state_.report_changes(fact_source::store, start);
+        state_.report_changes(update_source::store, start);
     }
 
     std::string known() const {
@@ -393,7 +393,7 @@
     for (const std::string& id : row.lapsed) {
         told.push_back({backend(id), true});
     }
-    state_.take_peer_backends(told, row.position, start);
+    state_.apply_peer_backends(told, row.position, start);
     EXPECT_EQ(known(), row.known_after);
 }
 
@@ -401,7 +401,7 @@
 TEST_F(known_servers, an_older_list_still_tells_who_leaves) {
     peer_backend leaver{backend("a"), false};
     leaver.backend.leaving = true;
-    state_.take_peer_backends(std::vector{leaver}, 3, start);
+    state_.apply_peer_backends(std::vector{leaver}, 3, start);
     EXPECT_EQ(forwarding_.registry.usable(service_id("s")).size(), 1u);
 }
 
@@ -446,7 +446,7 @@
         state_.note_view(entries, t, t);
     }
     state_.note_view(entries, told, told);
-    state_.watch_outage(now);
+    state_.update_outage(now);
     state_.note_view(entries, now, now);
     forwarding_.registry.remove(backend_id("a"), now);
     EXPECT_EQ(forwarding_.registry.has_lapsed(backend_id("a")), row.put_off);
--- a/test/platform/translation_test.cpp
+++ b/test/platform/translation_test.cpp
@@ -148,11 +148,11 @@
     record_translation records;
     forwarding_state forwarding(requests, failure_domain_id("z"), {}, 1);
     deployment_state state(forwarding, records);
-    state.take_records(record_topic::backend_entries, spoiled_entries, GetParam(), time_point{});
+    state.apply_records(record_topic::backend_entries, spoiled_entries, GetParam(), time_point{});
     ASSERT_EQ(forwarding.registry.all().size(), 1u);
     EXPECT_EQ(forwarding.registry.all().front().id, backend_id("i-1"));
     const std::vector<keyed_record> unreadable = {{"i-1", "{"}};
-    state.take_records(record_topic::backend_entries, unreadable, GetParam(), time_point{});
+    state.apply_records(record_topic::backend_entries, unreadable, GetParam(), time_point{});
     EXPECT_EQ(forwarding.registry.usable(service_id("s")).size(), 1u);
 }
 
@@ -277,7 +277,7 @@
     state.take_configuration(with_version(9), "peer");
     EXPECT_EQ(state.version(), 9);
     const std::vector<keyed_record> removal = {{"config", ""}};
-    state.take_records(record_topic::operator_documents, removal, false, time_point{});
+    state.apply_records(record_topic::operator_documents, removal, false, time_point{});
     EXPECT_EQ(state.version(), 9);
 }
 
