--- a/bamboostream/src/Evacuation/evacuation_service.cpp
+++ b/bamboostream/src/Evacuation/evacuation_service.cpp
@@ -48,7 +48,7 @@
 
 void evacuation_service::ask_engines() {
     for (const service_rule& service : state_.routes->configuration().services) {
-        if (!service.engine || !service.engine->moves || !peers_.drives(service.id)) {
+        if (!service.engine || !service.engine->moves || !peers_.coordinates(service.id)) {
             continue;
         }
         for (const registered_backend* backend : state_.registry.usable(service.id)) {
@@ -89,7 +89,7 @@
 }
 
 bool evacuation_service::start_driving(const registered_backend& backend) {
-    if (!peers_.drives(backend.service)) {
+    if (!peers_.coordinates(backend.service)) {
         return false;
     }
     if (driven_.insert(backend.id).second) {
@@ -98,8 +98,9 @@
     return true;
 }
 
-asio::awaitable<std::vector<move_candidate>> evacuation_service::gather(const backend_id& backend) {
-    std::vector<move_candidate> out = co_await peers_.gather(backend);
+asio::awaitable<std::vector<move_candidate>>
+evacuation_service::collect_movable(const backend_id& backend) {
+    std::vector<move_candidate> out = co_await peers_.collect_movable(backend);
     for (const movable_generation& generation : state_.streams.claim_movable(backend)) {
         out.push_back({generation, {}});
     }
@@ -113,7 +114,7 @@
     int empty_looks = 0;
     bool alive = true;
     while (alive && monotonic_now() < until && empty_looks < most_empty_looks) {
-        const std::vector<move_candidate> found = co_await gather(source.id);
+        const std::vector<move_candidate> found = co_await collect_movable(source.id);
         empty_looks = found.empty() ? empty_looks + 1 : 0;
         for (const move_candidate& candidate : found) {
             alive = alive && co_await move_one(source, candidate);
@@ -217,7 +218,7 @@
     if (candidate.instance.empty()) {
         state_.streams.notify(candidate.generation.id, notice, monotonic_now());
     } else {
-        peers_.tell(candidate.instance, candidate.generation.id, notice);
+        peers_.send_move_notice(candidate.instance, candidate.generation.id, notice);
     }
 }
 
--- a/bamboostream/src/Evacuation/evacuation_service.h
+++ b/bamboostream/src/Evacuation/evacuation_service.h
@@ -19,12 +19,13 @@
     /// True when this instance moves the generations of that service's engines; one instance does,
     /// so that the copies on an engine's link follow each other without gaps, and engines that
     /// leave together don't copy to the same target.
-    virtual bool drives(const service_id& service) const = 0;
+    virtual bool coordinates(const service_id& service) const = 0;
     /// Generations at the engine that other instances pass on.
-    virtual boost::asio::awaitable<std::vector<move_candidate>> gather(backend_id backend) = 0;
+    virtual boost::asio::awaitable<std::vector<move_candidate>>
+    collect_movable(backend_id backend) = 0;
     /// Tells the instance that passes a generation on where it goes on.
-    virtual void tell(const std::string& instance, const std::string& generation,
-                      const move_notice& notice) = 0;
+    virtual void send_move_notice(const std::string& instance, const std::string& generation,
+                                  const move_notice& notice) = 0;
 };
 
 /// Carries generations over from engines that leave. Lives on one thread.
@@ -51,7 +52,7 @@
     bool start_driving(const registered_backend& backend);
     boost::asio::awaitable<void> ask(registered_backend backend);
     boost::asio::awaitable<void> drive(registered_backend source);
-    boost::asio::awaitable<std::vector<move_candidate>> gather(const backend_id& backend);
+    boost::asio::awaitable<std::vector<move_candidate>> collect_movable(const backend_id& backend);
     /// False when the source is gone.
     boost::asio::awaitable<bool> move_one(const registered_backend& source,
                                           const move_candidate& candidate);
--- a/bamboostream/src/Evacuation/move_plan.cpp
+++ b/bamboostream/src/Evacuation/move_plan.cpp
@@ -38,9 +38,10 @@
     return from_milliseconds(us / 1000.0);
 }
 
-double most_full_after_move(const move_limits& limits, double average) {
-    const double way = std::clamp((average - limits.easy) / (limits.brim - limits.easy), 0.0, 1.0);
-    return limits.most_full + way * (limits.most_full_at_brim - limits.most_full);
+double max_fill_after_move(const move_limits& limits, double average) {
+    const double way = std::clamp(
+        (average - limits.low_average) / (limits.high_average - limits.low_average), 0.0, 1.0);
+    return limits.max_fill + way * (limits.max_fill_when_busy - limits.max_fill);
 }
 
 namespace {
@@ -64,7 +65,7 @@
                                          const failure_domain_id& source_domain, link_speed speed,
                                          std::span<const move_target> targets,
                                          const move_limits& limits) {
-    const double most_full = most_full_after_move(limits, average_fullness(targets));
+    const double max_fill = max_fill_after_move(limits, average_fullness(targets));
     std::optional<std::size_t> best;
     double best_cost = std::numeric_limits<double>::max();
     for (std::size_t i = 0; i < targets.size(); ++i) {
@@ -72,7 +73,7 @@
         const std::int64_t after =
             t.work.memory_tokens + generation.memory_tokens + generation.tokens_left;
         const double full = share_of(after, t.memory_tokens);
-        if (full > most_full || t.work.requests >= t.slots) {
+        if (full > max_fill || t.work.requests >= t.slots) {
             continue;
         }
         const bool far = t.backend.failure_domain != source_domain;
--- a/bamboostream/src/Evacuation/move_plan.h
+++ b/bamboostream/src/Evacuation/move_plan.h
@@ -50,16 +50,16 @@
 /// engines have room, newcomers go there and the target may be filled. When all are near the brim,
 /// whoever moves in makes others late, so room is kept.
 struct move_limits {
-    /// While the targets are on average no fuller than `easy`.
-    double most_full = 0.95;
-    double easy = 0.5;
-    /// When they are on average at least as full as `brim`.
-    double most_full_at_brim = 0.65;
-    double brim = 0.85;
+    /// While the targets are on average no fuller than `low_average`.
+    double max_fill = 0.95;
+    double low_average = 0.5;
+    /// When they are on average at least as full as `high_average`.
+    double max_fill_when_busy = 0.65;
+    double high_average = 0.85;
 };
 
 /// The limit for targets that are on average `average` full; between the two it falls evenly.
-double most_full_after_move(const move_limits& limits, double average);
+double max_fill_after_move(const move_limits& limits, double average);
 
 /// The target on which the copy is done soonest and the generation hurts least; nothing when none
 /// has room.
--- a/bamboostream/src/Gateway/peer_exchange.cpp
+++ b/bamboostream/src/Gateway/peer_exchange.cpp
@@ -105,12 +105,12 @@
     }
 }
 
-bool peer_exchange::drives(const service_id& service) const {
+bool peer_exchange::coordinates(const service_id& service) const {
     const auto owners = membership_.owners(service.text(), 1);
     return owners.empty() || owners.front() == membership_.own_address();
 }
 
-asio::awaitable<std::vector<move_candidate>> peer_exchange::gather(backend_id backend) {
+asio::awaitable<std::vector<move_candidate>> peer_exchange::collect_movable(backend_id backend) {
     auto answers = std::make_shared<gathered_answers>(context_);
     // Who has generations there has told so. Asking everybody costs the product of the instances
     // and the engines that leave.
@@ -142,8 +142,8 @@
     co_return answers->candidates;
 }
 
-void peer_exchange::tell(const std::string& instance, const std::string& generation,
-                         const move_notice& notice) {
+void peer_exchange::send_move_notice(const std::string& instance, const std::string& generation,
+                                     const move_notice& notice) {
     links_.send(instance, make_frame(to_wire(generation, notice)));
 }
 
--- a/bamboostream/src/Gateway/peer_exchange.h
+++ b/bamboostream/src/Gateway/peer_exchange.h
@@ -33,10 +33,11 @@
     /// The work of this instance at engines has changed.
     void note_load() { load_due_.cancel(); }
 
-    bool drives(const service_id& service) const override;
-    boost::asio::awaitable<std::vector<move_candidate>> gather(backend_id backend) override;
-    void tell(const std::string& instance, const std::string& generation,
-              const move_notice& notice) override;
+    bool coordinates(const service_id& service) const override;
+    boost::asio::awaitable<std::vector<move_candidate>>
+    collect_movable(backend_id backend) override;
+    void send_move_notice(const std::string& instance, const std::string& generation,
+                          const move_notice& notice) override;
 
 private:
     boost::asio::awaitable<void> load_loop();
--- a/test/platform/evacuation_test.cpp
+++ b/test/platform/evacuation_test.cpp
@@ -67,8 +67,8 @@
 
 class scripted_peers final : public evacuation_peers {
 public:
-    bool drives(const service_id&) const override { return drives_; }
-    asio::awaitable<std::vector<move_candidate>> gather(backend_id backend) override {
+    bool coordinates(const service_id&) const override { return drives_; }
+    asio::awaitable<std::vector<move_candidate>> collect_movable(backend_id backend) override {
         std::vector<move_candidate> out;
         for (const auto& [generation, at] : running_) {
             if (at == backend) {
@@ -77,8 +77,8 @@
         }
         co_return out;
     }
-    void tell(const std::string&, const std::string& generation,
-              const move_notice& notice) override {
+    void send_move_notice(const std::string&, const std::string& generation,
+                          const move_notice& notice) override {
         told_.push_back({generation, notice});
         running_.erase(generation);
     }
--- a/tools/prove.sh
+++ b/tools/prove.sh
@@ -82,7 +82,7 @@
 prove old_life_heard_late $s/Membership/backend_registry.cpp 'if (known && backend.started_ms < found->second.backend.started_ms) {' 'if (false) {' 'second_start'
 prove foreign_entries platform/record_translation.cpp 'if (!entry || !is_sound_entry(key, *entry, why)) {' 'if (!entry) {' 'foreign_entry'
 prove unreadable_neighbour $s/Gateway/deployment_state.cpp 'unreadable.emplace_back(record.key);' '' 'spoiled_neighbour'
-prove room_at_the_brim $s/Evacuation/move_plan.h 'double most_full_at_brim = 0.65;' 'double most_full_at_brim = 0.95;' 'room_is_kept'
+prove room_at_the_brim $s/Evacuation/move_plan.h 'double max_fill_when_busy = 0.65;' 'double max_fill_when_busy = 0.95;' 'room_is_kept'
 prove substitutes_read $s/Gateway/store_read_policy.cpp 'return !is_covered(topic, order, self, times.max_view_age, now);' 'return false;' 'reading_duty|readers_turned_away'
 prove old_views_count_as_old $s/Gateway/store_read_policy.cpp 'now - found->second <= limit;' 'true;' 'reading_duty|learning_budget'
 prove short_waits $s/Gateway/store_read_policy.cpp 'times.max_view_age, now) ? relaxed_wait : times.wait;' 'times.max_view_age, now) ? relaxed_wait : relaxed_wait;' 'only_one_proves|leaving_view|readers_turned_away'
