--- a/bamboostream/src/Gateway/configuration_distributor.cpp
+++ b/bamboostream/src/Gateway/configuration_distributor.cpp
@@ -120,7 +120,7 @@
               "peer={} version={} bytes={} encoded_bytes={} change={}", sender, encoded.version,
               text->size(), encoded.bytes->size(), encoded.base_digest != 0);
     being_read_ = true;
-    state_.take_configuration(
+    state_.submit_configuration(
         std::move(*text), sender,
         [this, received = encoded](document_result verdict) { note_judged(received, verdict); });
 }
--- a/bamboostream/src/Gateway/deployment_state.cpp
+++ b/bamboostream/src/Gateway/deployment_state.cpp
@@ -44,8 +44,8 @@
     log_event(events::record_rejected, "topic=operator_documents origin={} reason={}", origin, why);
 }
 
-void deployment_state::take_configuration(std::string text, std::string_view origin,
-                                          document_listener judged) {
+void deployment_state::submit_configuration(std::string text, std::string_view origin,
+                                            document_listener judged) {
     unread_document taken{nullptr, std::string(origin), {std::move(judged)}};
     if (document_ && text == *document_) {
         taken.settle(document_result::not_newer);
@@ -132,7 +132,7 @@
     }
     for (const keyed_record& record : records) {
         if (record.key == codec_.configuration_key() && !record.value.empty()) {
-            take_configuration(record.value, "store");
+            submit_configuration(record.value, "store");
         }
     }
 }
--- a/bamboostream/src/Gateway/deployment_state.h
+++ b/bamboostream/src/Gateway/deployment_state.h
@@ -52,8 +52,8 @@
     /// Takes a configuration document, from the store or a peer, unless a newer one is in force: a
     /// store that has lost its newest records, or a peer that lags, must not bring an old one back.
     /// `judged` is called once that is settled.
-    void take_configuration(std::string text, std::string_view origin,
-                            document_listener judged = {});
+    void submit_configuration(std::string text, std::string_view origin,
+                              document_listener judged = {});
     /// The newest configuration that is known to be in force somewhere.
     void note_told_configuration(std::int64_t version) { forwarding_.told_configuration = version; }
     /// Takes records of a topic; `all` says that they are the newest of every key.
--- a/test/platform/configuration_reader_test.cpp
+++ b/test/platform/configuration_reader_test.cpp
@@ -72,7 +72,7 @@
 TEST_P(set_reader, the_newest_is_in_force_in_the_end) {
     const order_row& row = GetParam();
     for (const std::string& text : row.taken) {
-        state_.take_configuration(text, "peer", [this](document_result verdict) {
+        state_.submit_configuration(text, "peer", [this](document_result verdict) {
             ++judged_;
             rejected_ += verdict == document_result::rejected ? 1 : 0;
         });
--- a/test/platform/document_transfer_test.cpp
+++ b/test/platform/document_transfer_test.cpp
@@ -94,8 +94,8 @@
     deployment_state state(forwarding, records);
     std::string blanks;
     blanks.resize(50'000'000, ' ');
-    state.take_configuration(old_text, "store");
-    state.take_configuration(large_document_text(2, 1, 3) + blanks, "store");
+    state.submit_configuration(old_text, "store");
+    state.submit_configuration(large_document_text(2, 1, 3) + blanks, "store");
     EXPECT_EQ(state.version(), 1);
     EXPECT_EQ(state.rejected_documents(), 1u);
 }
--- a/test/platform/translation_test.cpp
+++ b/test/platform/translation_test.cpp
@@ -269,12 +269,12 @@
     const auto with_version = [](int version) {
         return R"({"version":)" + std::to_string(version) + R"(,"routes":[],"services":[]})";
     };
-    state.take_configuration(with_version(5), "store");
-    state.take_configuration(with_version(4), "peer");
+    state.submit_configuration(with_version(5), "store");
+    state.submit_configuration(with_version(4), "peer");
     EXPECT_EQ(state.version(), 5);
-    state.take_configuration("{broken", "store");
+    state.submit_configuration("{broken", "store");
     EXPECT_EQ(state.version(), 5);
-    state.take_configuration(with_version(9), "peer");
+    state.submit_configuration(with_version(9), "peer");
     EXPECT_EQ(state.version(), 9);
     const std::vector<keyed_record> removal = {{"config", ""}};
     state.apply_records(record_topic::operator_documents, removal, false, time_point{});
