--- a/bamboostream/src/Gateway/deployment_state.cpp
+++ b/bamboostream/src/Gateway/deployment_state.cpp
@@ -232,7 +232,7 @@
     report_changes(update_source::peer_list, now);
 }
 
-void deployment_state::note_view(record_topic topic, time_point as_of, time_point now) {
+void deployment_state::update_view(record_topic topic, time_point as_of, time_point now) {
     if (topic == record_topic::operator_documents) {
         forwarding_.documents_view.known(as_of);
         return;
--- a/bamboostream/src/Gateway/deployment_state.h
+++ b/bamboostream/src/Gateway/deployment_state.h
@@ -70,7 +70,7 @@
     void apply_peer_backends(std::span<const peer_backend> entries, std::int64_t position,
                              time_point now);
     /// What the store said of the topic at `as_of` is known here.
-    void note_view(record_topic topic, time_point as_of, time_point now);
+    void update_view(record_topic topic, time_point as_of, time_point now);
     /// Judges by the age of the view whether the store is away.
     void update_outage(time_point now);
     /// Logs and passes on what has changed in the registry.
--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -160,9 +160,9 @@
     evacuation = std::make_unique<evacuation_service>(context, forwarding, contracts.mover, *peers);
     state.set_reader(reader);
     state.on_new_configuration([this](const routing_configuration& c) { take_configuration(c); });
-    state.on_cordon_change([this] { news->note_cordons(); });
+    state.on_cordon_change([this] { news->announce_cordons(); });
     state.on_backend_change([this](const registry_change& change) {
-        news->note_change(change);
+        news->announce_change(change);
         if (change.event == registry_event::leaving || change.event == registry_event::gone) {
             evacuation->on_leaving(change.backend);
         }
@@ -177,7 +177,7 @@
             forwarding.reading.forget(work_key(change.backend.id));
         }
     });
-    forwarding.on_generation_change = [this] { peers->note_load(); };
+    forwarding.on_generation_change = [this] { peers->on_load_change(); };
     connect_quarantine();
     forwarding.on_registry_change = [this] {
         state.report_changes(update_source::server, monotonic_now());
@@ -186,7 +186,8 @@
 
 void gateway::parts::connect_quarantine() {
     forwarding.quarantine.on_evidence([this](const harm_evidence& it) { quarantine->note(it); });
-    forwarding.quarantine.on_change([this](const request_digest& it) { keeper->note_change(it); });
+    forwarding.quarantine.on_change(
+        [this](const request_digest& it) { keeper->note_change(it); });
     forwarding.quarantine.set_server_names([this](std::uint64_t life) {
         const registered_backend* known =
             forwarding.registry.find_if([life](const registered_backend& it) {
@@ -199,7 +200,7 @@
 void gateway::parts::take_configuration(const routing_configuration& configuration) const {
     callers->set_limits(configuration.caller_limits);
     membership->members().update_self(0, configuration.version);
-    news->note_configuration();
+    news->announce_configuration();
 }
 
 /// A platform with shorter bounds than the waits were chosen for is served all the same; the line
--- a/bamboostream/src/Gateway/peer_exchange.h
+++ b/bamboostream/src/Gateway/peer_exchange.h
@@ -31,7 +31,7 @@
     handle(std::unique_ptr<wire::FrameT> frame);
 
     /// The work of this instance at engines has changed.
-    void note_load() { load_due_.cancel(); }
+    void on_load_change() { load_due_.cancel(); }
 
     bool coordinates(const service_id& service) const override;
     boost::asio::awaitable<std::vector<move_candidate>>
--- a/bamboostream/src/Gateway/peer_frames.cpp
+++ b/bamboostream/src/Gateway/peer_frames.cpp
@@ -41,7 +41,7 @@
     return out;
 }
 
-std::optional<time_point> moment_of(std::uint32_t age_on_wire, time_point now) {
+std::optional<time_point> time_from_age(std::uint32_t age_on_wire, time_point now) {
     if (age_on_wire == std::numeric_limits<std::uint32_t>::max()) {
         return std::nullopt;
     }
--- a/bamboostream/src/Gateway/store_follower.cpp
+++ b/bamboostream/src/Gateway/store_follower.cpp
@@ -131,7 +131,7 @@
     const std::int64_t first = position.next.value_or(page.next);
     position.next = page.next;
     position.own_view.known(now);
-    state_.note_view(position.topic, now, now);
+    state_.update_view(position.topic, now, now);
     const bool documents = position.topic == record_topic::operator_documents;
     if (documents) {
         // Versions tell configurations apart, whatever their order.
--- a/bamboostream/src/Gateway/store_update_exchange.cpp
+++ b/bamboostream/src/Gateway/store_update_exchange.cpp
@@ -113,16 +113,16 @@
     }
 }
 
-void store_update_exchange::note_change(const registry_change& change) {
+void store_update_exchange::announce_change(const registry_change& change) {
     untold_.push_back(change);
     due_.cancel();
 }
 
-void store_update_exchange::note_cordons() {
+void store_update_exchange::announce_cordons() {
     due_.cancel();
 }
 
-void store_update_exchange::note_configuration() {
+void store_update_exchange::announce_configuration() {
     due_.cancel();
 }
 
@@ -205,15 +205,15 @@
 
 /// What another instance knew some time ago is known here now that it has been told.
 void store_update_exchange::note_ages(const wire::StoreNewsT& news, time_point now) {
-    const auto entries_as_of = moment_of(news.entries_age_ms, now);
-    const auto documents_as_of = moment_of(news.documents_age_ms, now);
+    const auto entries_as_of = time_from_age(news.entries_age_ms, now);
+    const auto documents_as_of = time_from_age(news.documents_age_ms, now);
     if (entries_as_of && static_cast<std::int64_t>(news.sequence) <= state_.entries().position()) {
-        state_.note_view(record_topic::backend_entries, *entries_as_of, now);
+        state_.update_view(record_topic::backend_entries, *entries_as_of, now);
     }
     const auto documents_position = static_cast<std::int64_t>(news.documents_sequence);
     if (documents_as_of && news.configuration_version <= state_.version() &&
         documents_position > 0 && documents_position <= state_.cordons().position) {
-        state_.note_view(record_topic::operator_documents, *documents_as_of, now);
+        state_.update_view(record_topic::operator_documents, *documents_as_of, now);
     }
 }
 
@@ -268,12 +268,12 @@
 void store_update_exchange::take(const std::string& sender, const wire::StoreNewsT& news,
                                  time_point now) {
     const std::string& teller = news.teller.empty() ? sender : news.teller;
-    if (const auto as_of = moment_of(news.entries_age_ms, now)) {
+    if (const auto as_of = time_from_age(news.entries_age_ms, now)) {
         duty_.record_view(teller, record_topic::backend_entries, *as_of);
     }
     // An instance of the version before tells of configurations only: its word doesn't keep this
     // one from reading what the operator says of failure domains.
-    const auto documents_as_of = moment_of(news.documents_age_ms, now);
+    const auto documents_as_of = time_from_age(news.documents_age_ms, now);
     if (documents_as_of && news.documents_sequence > 0) {
         duty_.record_view(teller, record_topic::operator_documents, *documents_as_of);
     }
@@ -388,11 +388,11 @@
 
 void store_update_exchange::take_documents_view(const wire::BackendListT& list, time_point now) {
     state_.apply_peer_cordons(cordons_from_wire(list.cordoned, list.documents_sequence));
-    const auto as_of = moment_of(list.documents_age_ms, now);
+    const auto as_of = time_from_age(list.documents_age_ms, now);
     const auto position = static_cast<std::int64_t>(list.documents_sequence);
     if (as_of && position > 0 && position <= state_.cordons().position &&
         list.configuration_version <= state_.version()) {
-        state_.note_view(record_topic::operator_documents, *as_of, now);
+        state_.update_view(record_topic::operator_documents, *as_of, now);
     }
 }
 
@@ -437,9 +437,9 @@
     const auto position = static_cast<std::int64_t>(first->sequence);
     const time_point now = monotonic_now();
     state_.apply_peer_backends(entries, position, now);
-    const auto as_of = moment_of(first->age_ms, first_page_at);
+    const auto as_of = time_from_age(first->age_ms, first_page_at);
     if (as_of && position <= state_.entries().position()) {
-        state_.note_view(record_topic::backend_entries, *as_of, now);
+        state_.update_view(record_topic::backend_entries, *as_of, now);
     }
 }
 
--- a/bamboostream/src/Gateway/store_update_exchange.h
+++ b/bamboostream/src/Gateway/store_update_exchange.h
@@ -45,9 +45,9 @@
     void on_store_answer() override;
     /// A change of the registry or the configuration, which the others are told when this instance
     /// reads for them.
-    void note_change(const registry_change& change);
-    void note_configuration();
-    void note_cordons();
+    void announce_change(const registry_change& change);
+    void announce_configuration();
+    void announce_cordons();
 
     /// Takes the telling of another instance, in the life that began at `stamp`, and passes it on
     /// when asked to.
--- a/test/platform/peer_group.cpp
+++ b/test/platform/peer_group.cpp
@@ -94,8 +94,9 @@
     news = std::make_unique<store_update_exchange>(context, links, *membership, forwarding, state,
                                                    follower, duty, *spread);
     state.set_reader(reader);
-    state.on_cordon_change([this] { news->note_cordons(); });
-    state.on_backend_change([this](const registry_change& change) { news->note_change(change); });
+    state.on_cordon_change([this] { news->announce_cordons(); });
+    state.on_backend_change(
+        [this](const registry_change& change) { news->announce_change(change); });
     owner = std::make_unique<owner_scheduler>(links, *membership, forwarding);
     quarantine =
         std::make_unique<quarantine_exchange>(context, links, *membership, forwarding.quarantine);
--- a/test/platform/store_view_test.cpp
+++ b/test/platform/store_view_test.cpp
@@ -439,15 +439,15 @@
 TEST_P(outage, only_one_of_all_puts_removals_off) {
     const outage_row& row = GetParam();
     const time_point now = start + seconds(20);
-    state_.note_view(entries, now - milliseconds(row.own_silence_ms),
-                     now - milliseconds(row.own_silence_ms));
+    state_.update_view(entries, now - milliseconds(row.own_silence_ms),
+                       now - milliseconds(row.own_silence_ms));
     const time_point told = now - milliseconds(row.told_ms_ago);
     for (time_point t = now - milliseconds(row.own_silence_ms); t < told; t += milliseconds(300)) {
-        state_.note_view(entries, t, t);
+        state_.update_view(entries, t, t);
     }
-    state_.note_view(entries, told, told);
+    state_.update_view(entries, told, told);
     state_.update_outage(now);
-    state_.note_view(entries, now, now);
+    state_.update_view(entries, now, now);
     forwarding_.registry.remove(backend_id("a"), now);
     EXPECT_EQ(forwarding_.registry.has_lapsed(backend_id("a")), row.put_off);
     EXPECT_EQ(known(), row.put_off ? "ab" : "b");
@@ -458,8 +458,8 @@
 // every start.
 TEST(peer_frames_test, an_age_that_was_never_known_names_no_moment) {
     const view_age never;
-    EXPECT_EQ(moment_of(age_on_wire(never.age(start)), start), std::nullopt);
-    EXPECT_EQ(moment_of(age_on_wire(milliseconds(250)), start), start - milliseconds(250));
+    EXPECT_EQ(time_from_age(age_on_wire(never.age(start)), start), std::nullopt);
+    EXPECT_EQ(time_from_age(age_on_wire(milliseconds(250)), start), start - milliseconds(250));
 }
 
 // --- how far the entries are known
