--- a/bamboostream/src/Evacuation/evacuation_service.h
+++ b/bamboostream/src/Evacuation/evacuation_service.h
@@ -12,48 +12,51 @@
 
 namespace bamboostream {
 
-/// What evacuation needs from the other instances.
+/// Operations of evacuation that involve the other instances.
 class evacuation_peers {
 public:
     virtual ~evacuation_peers() = default;
-    /// True when this instance moves the generations of that service's engines; one instance does,
-    /// so that the copies on an engine's link follow each other without gaps, and engines that
-    /// leave together don't copy to the same target.
+    /// Whether this instance coordinates the moves of that service's generations. One instance does
+    /// so per service, so that the copies on an engine's link follow each other without gaps and
+    /// engines that leave together don't copy to the same target.
     virtual bool coordinates(const service_id& service) const = 0;
-    /// Generations at the engine that other instances pass on.
+    /// Returns the generations at the engine whose streams other instances forward.
     virtual boost::asio::awaitable<std::vector<move_candidate>>
     collect_movable(backend_id backend) = 0;
-    /// Tells the instance that passes a generation on where it goes on.
+    /// Tells the instance that forwards the generation's stream at which engine the generation
+    /// continues.
     virtual void send_move_notice(const std::string& instance, const std::string& generation,
                                   const move_notice& notice) = 0;
 };
 
-/// Carries generations over from engines that leave. Lives on one thread.
+/// Moves generations from engines that are leaving to other engines. Lives on one thread.
 class evacuation_service {
 public:
     evacuation_service(boost::asio::io_context& context, forwarding_state& state,
                        generation_mover& mover, evacuation_peers& peers)
         : context_(context), state_(state), mover_(mover), peers_(peers) {}
 
-    /// Asks engines themselves whether they leave while the store, which tells it otherwise, is
-    /// away.
+    /// Starts polling the engines themselves for whether they are leaving while the store, which
+    /// normally reports it, is unreachable.
     void start();
-    /// An engine is known to leave or has lost its entry; its generations are moved while it lives.
+    /// Called when an engine is known to be leaving or has lost its entry. Its generations are
+    /// moved for as long as it lives.
     void on_leaving(const registered_backend& backend);
 
-    /// The engine has started again; when it leaves once more it is evacuated once more.
+    /// Called when the engine has started again. It is evacuated again the next time that it
+    /// leaves.
     void on_restart(const backend_id& id);
 
 private:
-    boost::asio::awaitable<void> watch();
-    void ask_engines();
-    void take_over(time_point now);
-    /// False when another instance drives.
-    bool start_driving(const registered_backend& backend);
-    boost::asio::awaitable<void> ask(registered_backend backend);
-    boost::asio::awaitable<void> drive(registered_backend source);
+    boost::asio::awaitable<void> watch_loop();
+    void poll_engines();
+    void take_over_delegated(time_point now);
+    /// Returns false when another instance coordinates the moves of this service.
+    bool start_evacuation(const registered_backend& backend);
+    boost::asio::awaitable<void> poll_engine(registered_backend backend);
+    boost::asio::awaitable<void> evacuate(registered_backend source);
     boost::asio::awaitable<std::vector<move_candidate>> collect_movable(const backend_id& backend);
-    /// False when the source is gone.
+    /// Returns false when the source is gone.
     boost::asio::awaitable<bool> move_one(const registered_backend& source,
                                           const move_candidate& candidate);
     std::vector<move_target> targets(const service_id& service) const;
@@ -66,19 +69,20 @@
     forwarding_state& state_;
     generation_mover& mover_;
     evacuation_peers& peers_;
-    /// An engine that another instance evacuates, and when it was found to leave.
-    struct watched_engine {
+    /// An engine that another instance evacuates, and when it was found to be leaving.
+    struct delegated_engine {
         registered_backend backend;
         time_point since;
     };
-    std::set<backend_id> driven_;
-    /// When the instance that drives dies or freezes, the next owner takes its evacuations over:
-    /// all generations there would be cut though their engine still lives.
-    std::vector<watched_engine> left_to_others_;
-    /// Targets that a generation is on its way to. The last part of a copy waits behind whatever
-    /// else is sent to the same target, while its stream stands still (250 to 950 ms instead of
-    /// some 10), so a target gets one generation at a time.
-    std::set<backend_id> receiving_;
+    std::set<backend_id> evacuated_;
+    /// Engines whose evacuation another instance coordinates. When that instance dies or freezes,
+    /// the next owner takes its evacuations over: otherwise all generations there would be cut off
+    /// although their engine is still alive.
+    std::vector<delegated_engine> delegated_;
+    /// Targets that a generation is being copied to. The final part of a copy queues behind
+    /// whatever else is sent to the same target while its stream is paused (250 to 950 ms instead
+    /// of about 10), so a target receives one generation at a time.
+    std::set<backend_id> busy_targets_;
 };
 
 } // namespace bamboostream
--- a/bamboostream/src/Evacuation/move_plan.h
+++ b/bamboostream/src/Evacuation/move_plan.h
@@ -11,7 +11,7 @@
 
 namespace bamboostream {
 
-/// A generation at a leaving engine and the instance that passes its stream on.
+/// A generation at a leaving engine and the instance that forwards its stream.
 struct move_candidate {
     movable_generation generation;
     /// Empty for this instance itself.
@@ -28,41 +28,44 @@
     int slots = 0;
 };
 
-/// How fast memory moves.
+/// The speed at which a generation's memory is copied.
 struct link_speed {
     double bytes_per_token = 0.0;
-    /// Bits a microsecond.
+    /// Megabits per second, which are bits per microsecond.
     double mbps = 0.0;
 };
 
-/// Time of a copy on an otherwise idle link; twice as long between failure domains.
-duration copy_time(std::int64_t tokens, link_speed speed, bool far);
+/// The time of a copy on an otherwise idle link. A copy between failure domains takes twice as
+/// long.
+duration copy_time(std::int64_t tokens, link_speed speed, bool cross_domain);
 
-/// The order in which generations leave an engine. Copies share the engine's link and go one after
-/// the other; whoever is not done when the engine goes is cut. Small copies first saves the most
-/// generations in the time there is; one that ends by itself within the notice goes last.
+/// The order in which generations leave an engine. Copies share the engine's link and are made one
+/// after the other; generations that are not copied when the engine goes are cut off. Copying small
+/// generations first saves the most of them in the time available. A generation that ends by itself
+/// within the notice period goes last.
 std::vector<move_candidate> order_moves(std::vector<move_candidate> candidates);
 
-/// What the generations of a move's target may come to hold, in shares of its memory.
+/// Limits on how full the memory of a move's target may become, as fractions of its memory.
 ///
-/// Estimates are right at the median only, and when an engine overflows it pushes its newest out in
-/// the middle of their streams, reads their prompts again and lets others wait. While the other
-/// engines have room, newcomers go there and the target may be filled. When all are near the brim,
-/// whoever moves in makes others late, so room is kept.
+/// Length estimates are right at the median only. When an engine's memory overflows, it preempts
+/// its newest generations in the middle of their streams, processes their prompts again and lets
+/// other requests wait. While the other engines have room, new requests go there and the target may
+/// be filled. When all engines are nearly full, a moved generation delays others, so room is kept.
 struct move_limits {
-    /// While the targets are on average no fuller than `low_average`.
+    /// Applies while the average fill of the targets is at most `low_average`.
     double max_fill = 0.95;
     double low_average = 0.5;
-    /// When they are on average at least as full as `high_average`.
+    /// Applies when the average fill of the targets is at least `high_average`.
     double max_fill_when_busy = 0.65;
     double high_average = 0.85;
 };
 
-/// The limit for targets that are on average `average` full; between the two it falls evenly.
+/// The limit for targets with the average fill `average`. It is interpolated linearly between
+/// `low_average` and `high_average`.
 double max_fill_after_move(const move_limits& limits, double average);
 
-/// The target on which the copy is done soonest and the generation hurts least; nothing when none
-/// has room.
+/// Chooses the target with the lowest cost in copy time and memory pressure. Returns nothing when
+/// no target has room.
 std::optional<std::size_t> choose_target(const movable_generation& generation,
                                          const failure_domain_id& source_domain, link_speed speed,
                                          std::span<const move_target> targets,
--- a/bamboostream/src/Gateway/announcement_delay.h
+++ b/bamboostream/src/Gateway/announcement_delay.h
@@ -10,33 +10,34 @@
 
 namespace bamboostream {
 
-/// How much longer than usual the tellings of other instances were under way.
+/// Estimates how much longer than usual the announcements of other instances were in transit.
 ///
-/// A telling says how old its facts were when it left. An instance that passes it on may be frozen,
-/// and a link may hold it up: the facts then look as fresh as on the day they were told, and a
-/// server that has left since is sent to. Clocks of two machines can't be compared, but how far
-/// they are apart doesn't change, so what the difference exceeds its least value by is time under
-/// way.
+/// An announcement says how old its facts were when it was sent. An instance that relays it may be
+/// frozen, and a link may delay it: the facts then look as fresh as when they were sent, and
+/// requests go to a server that has left since. The clocks of two machines can't be compared, but
+/// their offset doesn't change, so the amount by which a difference exceeds the smallest one is
+/// time in transit.
 ///
-/// Example: `as_of -= delay.excess_over_min(teller, stamp, told_at, machine_now());`
+/// Example: `as_of -= delay.excess_over_min(announcer, stamp, sent_at, machine_now());`
 class announcement_delay {
 public:
-    /// The least difference is looked for among those of the last two spans of this length. A clock
-    /// that drifts by 100 in a million misleads by 6 ms.
+    /// The smallest difference is taken over the current and the previous window of this length. A
+    /// clock that drifts by 100 ppm causes an error of 6 ms.
     static constexpr seconds window{60};
 
-    /// `told_at` is the teller's clock when it told, `heard_at` this machine's now. Zero for the
-    /// first telling of a life of the teller, which is named by its address and start stamp.
-    milliseconds excess_over_min(const std::string& teller, std::int64_t stamp,
-                                 milliseconds told_at, milliseconds heard_at);
+    /// `sent_at` is the announcer's clock when it sent, `received_at` is this machine's clock now.
+    /// Returns zero for the first announcement of an incarnation of the announcer, which is
+    /// identified by its address and start stamp.
+    milliseconds excess_over_min(const std::string& announcer, std::int64_t stamp,
+                                 milliseconds sent_at, milliseconds received_at);
 
 private:
-    struct differences {
+    struct clock_differences {
         milliseconds window_start{};
         milliseconds current_min{};
         std::optional<milliseconds> previous_min;
     };
-    std::map<std::string, std::pair<std::int64_t, differences>> by_teller_;
+    std::map<std::string, std::pair<std::int64_t, clock_differences>> by_announcer_;
 };
 
 } // namespace bamboostream
--- a/bamboostream/src/Gateway/configuration_distributor.h
+++ b/bamboostream/src/Gateway/configuration_distributor.h
@@ -20,54 +20,55 @@
 
 namespace bamboostream {
 
-/// Hands the operator's configuration on from instance to instance, so that it comes into force
-/// everywhere while only those that read for all ask the store. Lives on one thread. What is asked
-/// and answered is decided by `document_fetcher` and `document_provider`.
+/// Distributes the operator's configuration from instance to instance, so that it comes into force
+/// everywhere while only the designated readers ask the store. Lives on one thread.
+/// `document_fetcher` and `document_provider` decide what is requested and answered.
 class configuration_distributor {
 public:
     configuration_distributor(boost::asio::io_context& context, link_hub& links,
                               membership_service& membership, deployment_state& state);
 
     void start();
-    /// The speed of this instance's link bounds how many it serves at once.
-    void set_link_speed(double megabits_a_second);
-    /// While the store is being read for a newer version no other source is asked.
-    void set_pause_condition(std::function<bool()> store_is_read) {
-        store_is_read_ = std::move(store_is_read);
+    /// The speed of this instance's link limits how many instances it serves at once.
+    void set_link_speed(double link_mbps);
+    /// While this returns true, the store is being read for a newer version and no peer is asked.
+    void set_pause_condition(std::function<bool()> condition) {
+        store_read_in_progress_ = std::move(condition);
     }
 
-    /// `teller` has a version, or passes on the word of one that has.
-    void on_version_announced(const std::string& teller, std::int64_t version);
-    /// Asks somebody whether there is something newer, because nobody has told for long.
+    /// `announcer` has the version, or relays the announcement of an instance that has it.
+    void on_version_announced(const std::string& announcer, std::int64_t version);
+    /// Asks a peer for a newer version, because none has been announced for a long time.
     void query_peer(const std::string& peer);
-    void answer(const wire::DocumentRequestT& request, const std::string& sender);
-    void take(const wire::DocumentPieceT& piece, const std::string& sender);
+    void on_request(const wire::DocumentRequestT& request, const std::string& sender);
+    void on_piece(const wire::DocumentPieceT& piece, const std::string& sender);
 
-    /// The others don't hand on a version that was told of: the store must be read.
-    bool must_read_store(time_point now);
-    /// A newer version is known of and comes.
-    bool is_receiving(time_point now) const {
-        return being_read_ || (fetch_.knows_of_newer() && !fetch_.is_stalled(now));
+    /// Whether a version was announced that the peers don't provide, so that the store must be
+    /// read.
+    bool must_read_from_store(time_point now);
+    /// Whether a newer version is known and its transfer makes progress.
+    bool is_fetching(time_point now) const {
+        return parsing_ || (fetcher_.knows_newer_version() && !fetcher_.is_stalled(now));
     }
-    const document_fetcher& fetch() const { return fetch_; }
-    const document_provider& shelf() const { return shelf_; }
+    const document_fetcher& fetcher() const { return fetcher_; }
+    const document_provider& provider() const { return provider_; }
 
 private:
-    boost::asio::awaitable<void> ask_loop();
-    /// Notices what has come into force here, from wherever.
-    void follow_state();
-    void finish(const std::string& sender);
-    void note_judged(const encoded_document& received, document_result verdict);
+    boost::asio::awaitable<void> request_loop();
+    /// Takes over the configuration in force here, whichever source it came from.
+    void sync_with_state();
+    void decode_received(const std::string& sender);
+    void on_document_processed(const encoded_document& received, document_result result);
 
     boost::asio::io_context& context_;
     link_hub& links_;
     membership_service& membership_;
     deployment_state& state_;
-    document_provider shelf_;
-    document_fetcher fetch_;
-    /// What was received is being read; it will be in force in a moment.
-    bool being_read_ = false;
-    std::function<bool()> store_is_read_ = [] { return false; };
+    document_provider provider_;
+    document_fetcher fetcher_;
+    /// A received document is being parsed and will be in force in a moment.
+    bool parsing_ = false;
+    std::function<bool()> store_read_in_progress_ = [] { return false; };
     boost::asio::steady_timer due_;
 };
 
--- a/bamboostream/src/Gateway/configuration_reader.h
+++ b/bamboostream/src/Gateway/configuration_reader.h
@@ -11,18 +11,19 @@
 
 namespace bamboostream {
 
-/// Reads configurations on a thread of its own and builds the table of routes beside the one in
-/// use.
+/// Parses configurations on a thread of its own and builds the new route table while the old one is
+/// in use.
 ///
-/// Reading a large document takes a small instance longer than a probe may take. On the thread of
-/// the requests all of them would wait for it, and so would probes: the others would suspect an
-/// instance that is only busy.
+/// Parsing a large document takes a small instance longer than a probe may take. On the request
+/// thread it would block all requests and probes, and the other instances would suspect an instance
+/// that is only busy.
 class configuration_reader {
 public:
-    /// What was read: null, with the reason, when the document isn't a configuration.
+    /// Receives the result. `table` is null when the document isn't a valid configuration; `why`
+    /// then gives the reason.
     using listener = std::function<void(std::shared_ptr<const route_table> table, std::string why)>;
 
-    /// Results come on `context`.
+    /// Listeners are called on `context`.
     configuration_reader(boost::asio::io_context& context, const record_codec& codec)
         : context_(context), codec_(codec) {}
 
--- a/bamboostream/src/Gateway/deployment_state.cpp
+++ b/bamboostream/src/Gateway/deployment_state.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Documents that are taken while one is being read; of more the oldest are given up, since newer
-/// ones come later.
-constexpr std::size_t most_unread = 3;
+/// Documents that are queued, including the one that is being parsed. When there are more, the
+/// oldest waiting one is dropped, since a newer one follows.
+constexpr std::size_t max_pending = 3;
 
 const event_kind& event_of(registry_event event) {
     switch (event) {
@@ -45,54 +45,54 @@
 }
 
 void deployment_state::submit_configuration(std::string text, std::string_view origin,
-                                            document_listener judged) {
-    unread_document taken{nullptr, std::string(origin), {std::move(judged)}};
+                                            document_listener on_result) {
+    pending_document submitted{nullptr, std::string(origin), {std::move(on_result)}};
     if (document_ && text == *document_) {
-        taken.settle(document_result::not_newer);
+        submitted.notify_listeners(document_result::not_newer);
         return;
     }
     if (text.size() > most_document_bytes) {
         reject(origin, "too large");
-        taken.settle(document_result::rejected);
+        submitted.notify_listeners(document_result::rejected);
         return;
     }
-    for (unread_document& waiting : unread_) {
+    for (pending_document& waiting : pending_) {
         if (*waiting.text == text) {
-            waiting.judged.push_back(std::move(taken.judged.front()));
+            waiting.listeners.push_back(std::move(submitted.listeners.front()));
             return;
         }
     }
-    taken.text = std::make_shared<const std::string>(std::move(text));
-    unread_.push_back(std::move(taken));
-    if (unread_.size() == 1) {
-        read_next();
-    } else if (unread_.size() > most_unread) {
-        // Not the one that is being read.
-        const auto oldest = unread_.begin() + 1;
-        const unread_document dropped = std::move(*oldest);
-        unread_.erase(oldest);
-        dropped.settle(document_result::superseded);
+    submitted.text = std::make_shared<const std::string>(std::move(text));
+    pending_.push_back(std::move(submitted));
+    if (pending_.size() == 1) {
+        parse_next();
+    } else if (pending_.size() > max_pending) {
+        // The first one is being parsed.
+        const auto oldest = pending_.begin() + 1;
+        const pending_document dropped = std::move(*oldest);
+        pending_.erase(oldest);
+        dropped.notify_listeners(document_result::superseded);
     }
 }
 
-void deployment_state::unread_document::settle(document_result verdict) const {
-    for (const document_listener& listener : judged) {
+void deployment_state::pending_document::notify_listeners(document_result result) const {
+    for (const document_listener& listener : listeners) {
         if (listener) {
-            listener(verdict);
+            listener(result);
         }
     }
 }
 
-void deployment_state::read_next() {
+void deployment_state::parse_next() {
     const auto take = [this](std::shared_ptr<const route_table> table, const std::string& why) {
-        const unread_document document = std::move(unread_.front());
-        unread_.pop_front();
-        document.settle(judge(document, std::move(table), why));
-        if (!unread_.empty()) {
-            read_next();
+        const pending_document document = std::move(pending_.front());
+        pending_.pop_front();
+        document.notify_listeners(apply_document(document, std::move(table), why));
+        if (!pending_.empty()) {
+            parse_next();
         }
     };
-    const std::shared_ptr<const std::string> text = unread_.front().text;
+    const std::shared_ptr<const std::string> text = pending_.front().text;
     if (reader_ != nullptr) {
         reader_->read(text, take);
         return;
@@ -103,9 +103,9 @@
          why);
 }
 
-document_result deployment_state::judge(const unread_document& document,
-                                        std::shared_ptr<const route_table> table,
-                                        const std::string& why) {
+document_result deployment_state::apply_document(const pending_document& document,
+                                                 std::shared_ptr<const route_table> table,
+                                                 const std::string& why) {
     if (!table) {
         reject(document.origin, why);
         return document_result::rejected;
@@ -127,7 +127,7 @@
 void deployment_state::apply_records(record_topic topic, std::span<const keyed_record> records,
                                      bool all, time_point now) {
     if (topic == record_topic::backend_entries) {
-        take_entries(records, all, now);
+        apply_entries(records, all, now);
         return;
     }
     for (const keyed_record& record : records) {
@@ -137,9 +137,9 @@
     }
 }
 
-void deployment_state::reject_key(const std::string& key) {
-    constexpr std::size_t most_remembered = 256;
-    if (unknown_keys_.size() < most_remembered && unknown_keys_.insert(key).second) {
+void deployment_state::reject_unknown_key(const std::string& key) {
+    constexpr std::size_t max_remembered = 256;
+    if (unknown_keys_.size() < max_remembered && unknown_keys_.insert(key).second) {
         ++rejected_documents_;
         log_event(events::record_rejected, "topic=operator_documents key={} reason=unknown key",
                   key);
@@ -153,7 +153,7 @@
         const auto domain = codec_.cordoned_domain(record.key);
         if (!domain) {
             if (record.key != codec_.configuration_key()) {
-                reject_key(record.key);
+                reject_unknown_key(record.key);
             }
         } else if (record.value.empty()) {
             known.domains.erase(*domain);
@@ -164,9 +164,9 @@
     set_cordons(std::move(known), "store");
 }
 
-void deployment_state::apply_peer_cordons(const cordoned_domains& told) {
-    if (told.position > cordons_.position) {
-        set_cordons(told, "peer");
+void deployment_state::apply_peer_cordons(const cordoned_domains& peer_cordons) {
+    if (peer_cordons.position > cordons_.position) {
+        set_cordons(peer_cordons, "peer");
     }
 }
 
@@ -188,8 +188,8 @@
     }
 }
 
-void deployment_state::take_entries(std::span<const keyed_record> records, bool all,
-                                    time_point now) {
+void deployment_state::apply_entries(std::span<const keyed_record> records, bool all,
+                                     time_point now) {
     std::vector<registered_backend> entries;
     std::vector<backend_id> unreadable;
     for (const keyed_record& record : records) {
@@ -224,8 +224,8 @@
             forwarding_.registry.mark_leaving(entry.backend.id, entry.backend.started_ms);
         }
     }
-    const bool knows_nothing = forwarding_.registry.empty() && entries_.position() == 0;
-    if (!entries.empty() && (position > entries_.position() || knows_nothing)) {
+    const bool has_no_entries = forwarding_.registry.empty() && entries_.position() == 0;
+    if (!entries.empty() && (position > entries_.position() || has_no_entries)) {
         entries_.set_position(position);
         forwarding_.registry.learn_from_peer(entries, now);
     }
--- a/bamboostream/src/Gateway/document_frames.h
+++ b/bamboostream/src/Gateway/document_frames.h
@@ -5,7 +5,7 @@
 
 namespace bamboostream {
 
-// Pieces of documents, between the product's types and the frames on the links.
+// Conversions between pieces of documents and the frames on the links.
 
 wire::DocumentRequestT to_wire(const document_request& request);
 document_request from_wire(const wire::DocumentRequestT& request);
--- a/bamboostream/src/Gateway/document_provider.cpp
+++ b/bamboostream/src/Gateway/document_provider.cpp
@@ -6,25 +6,26 @@
 
 namespace {
 
-/// An encoding of so few bytes is sent to whoever asks: it is no longer than other frames.
-constexpr std::size_t small_encoding = 2 * 1024;
-/// Who hasn't asked for the next piece by then has given up or gone elsewhere.
-constexpr milliseconds served_for{300};
-/// Names of holders that a busy answer gives.
-constexpr std::size_t most_holders = 4;
-/// On a platform that doesn't tell how fast links are.
-constexpr std::size_t usual_served = 8;
-constexpr std::size_t most_ever_served = 32;
+/// An encoding of at most this size is sent to every requester: it is no longer than other frames.
+constexpr std::size_t small_encoding_bytes = 2 * 1024;
+/// A requester that hasn't asked for the next piece within this time has given up or asked another
+/// instance.
+constexpr milliseconds request_lifetime{300};
+/// Number of holders that a busy answer names.
+constexpr std::size_t max_holders = 4;
+/// Used on a platform that doesn't report link speeds.
+constexpr std::size_t default_max_served = 8;
+constexpr std::size_t max_served_limit = 32;
 constexpr double round_seconds = 0.03;
 
 } // namespace
 
 std::size_t document_provider::max_served_for_link(double link_mbps) {
     if (link_mbps <= 0.0) {
-        return usual_served;
+        return default_max_served;
     }
     const double bytes = link_mbps * 1e6 / 8.0 * round_seconds;
-    const double pieces = std::min(bytes / piece_bytes, static_cast<double>(most_ever_served));
+    const double pieces = std::min(bytes / piece_bytes, static_cast<double>(max_served_limit));
     return std::max<std::size_t>(1, static_cast<std::size_t>(pieces));
 }
 
@@ -35,7 +36,7 @@
     version_ = version;
     document_ = std::move(document);
     digest_ = digest_of(*document_);
-    encodings_before_ = std::exchange(encodings_, {});
+    previous_encodings_ = std::exchange(encodings_, {});
     holders_.clear();
 }
 
@@ -57,7 +58,7 @@
 }
 
 const encoded_document& document_provider::encoding_for(const document_request& request) {
-    for (const auto* encodings : {&encodings_, &encodings_before_}) {
+    for (const auto* encodings : {&encodings_, &previous_encodings_}) {
         for (const auto& [base, encoded] : *encodings) {
             if (request.offset > 0 && encoded.name == request.encoding &&
                 encoded.version > request.held_version) {
@@ -74,24 +75,25 @@
 
 bool document_provider::may_serve(std::uint32_t encoded_bytes, const std::string& requester,
                                   time_point now) {
-    if (encoded_bytes <= small_encoding) {
+    if (encoded_bytes <= small_encoding_bytes) {
         return true;
     }
-    std::erase_if(served_, [&](const auto& it) { return now - it.second > served_for; });
-    if (!served_.contains(requester) && served_.size() >= most_served_) {
+    std::erase_if(active_requesters_,
+                  [&](const auto& it) { return now - it.second > request_lifetime; });
+    if (!active_requesters_.contains(requester) && active_requesters_.size() >= max_served_) {
         return false;
     }
-    served_[requester] = now;
+    active_requesters_[requester] = now;
     return true;
 }
 
-void document_provider::note_served(const document_piece& piece, const std::string& requester) {
+void document_provider::record_served(const document_piece& piece, const std::string& requester) {
     if (piece.offset + piece.bytes.size() == piece.encoded_bytes) {
-        served_.erase(requester);
+        active_requesters_.erase(requester);
     }
     if (std::find(holders_.begin(), holders_.end(), requester) == holders_.end()) {
         holders_.push_front(requester);
-        holders_.resize(std::min(holders_.size(), most_holders));
+        holders_.resize(std::min(holders_.size(), max_holders));
     }
 }
 
@@ -118,8 +120,8 @@
     out.document_bytes = encoded.document_bytes;
     out.encoding = encoded.name;
     out.encoded_bytes = source.encoded_bytes;
-    const bool goes_on = request.encoding == encoded.name && request.offset < out.encoded_bytes;
-    out.offset = goes_on ? request.offset : 0;
+    const bool continues = request.encoding == encoded.name && request.offset < out.encoded_bytes;
+    out.offset = continues ? request.offset : 0;
     if (out.offset >= source.bytes.size() || !may_serve(source.encoded_bytes, requester, now)) {
         out.kind = piece_kind::busy;
         out.holders.assign(holders_.begin(), holders_.end());
@@ -127,7 +129,7 @@
     }
     out.kind = piece_kind::bytes;
     out.bytes = source.bytes.substr(out.offset, piece_bytes);
-    note_served(out, requester);
+    record_served(out, requester);
     return out;
 }
 
--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -22,19 +22,20 @@
 namespace {
 
 constexpr milliseconds housekeeping_period{500};
-constexpr milliseconds drain_check{20};
-/// Between two looks whether the settings have changed without a signal.
+constexpr milliseconds drain_poll_period{20};
+/// Interval at which the settings are checked for changes without a signal.
 constexpr milliseconds settings_period{5'000};
-/// Left of the grace when the process ends by itself, so that it isn't killed in a write.
+/// Time left of the grace period when the process ends by itself, so that it isn't killed during a
+/// write.
 constexpr milliseconds grace_margin{350};
-/// Callers keep directory answers up to three times as long as told.
-constexpr int longest_kept = 3;
-/// A caller gets addresses of its own failure domain while there are so many of them: fewer would
-/// be a single point of failure for as long as callers keep the answer.
-constexpr std::size_t least_near = 2;
-constexpr std::size_t most_addresses = 64;
-
-/// Machines are found by the seeds of the settings and by gossip from there.
+/// Callers keep directory answers up to three times as long as the stated validity.
+constexpr int max_cache_factor = 3;
+/// A caller gets only addresses of its own failure domain when there are at least this many of
+/// them: fewer would be a single point of failure for as long as callers keep the answer.
+constexpr std::size_t min_near_addresses = 2;
+constexpr std::size_t max_addresses = 64;
+
+/// Finds other instances by the seeds in the settings; gossip finds the rest.
 class seed_list final : public instance_list {
 public:
     explicit seed_list(const std::vector<std::string>& seeds) : seeds_(seeds) {}
@@ -73,15 +74,15 @@
     forwarding_state& forwarding;
     deployment_state state;
     configuration_reader reader;
-    store_read_policy duty;
+    store_read_policy read_policy;
     store_follower store;
     link_hub links;
     std::unique_ptr<membership_service> membership;
-    std::unique_ptr<configuration_distributor> spread;
-    std::unique_ptr<store_update_exchange> news;
-    std::unique_ptr<owner_scheduler> owner;
+    std::unique_ptr<configuration_distributor> distributor;
+    std::unique_ptr<store_update_exchange> store_updates;
+    std::unique_ptr<owner_scheduler> owner_engine_scheduler;
     std::unique_ptr<quarantine_exchange> quarantine;
-    std::unique_ptr<quarantine_persister> keeper;
+    std::unique_ptr<quarantine_persister> persister;
     std::unique_ptr<peer_exchange> peers;
     std::unique_ptr<evacuation_service> evacuation;
     std::vector<std::unique_ptr<http_server>> servers;
@@ -96,8 +97,8 @@
     bool serve(const std::string& address, http_handler handler);
     void build(const std::string& peer_address);
     void connect_quarantine();
-    void compare_with_bounds() const;
-    void take_configuration(const routing_configuration& configuration) const;
+    void check_bounds() const;
+    void apply_configuration(const routing_configuration& configuration) const;
     void apply(const gateway_settings& changed);
     asio::awaitable<void> watch_settings();
     void begin_drain();
@@ -115,7 +116,7 @@
 
 gateway::~gateway() = default;
 
-/// Calls that are still open must not reach the other parts any more.
+/// Calls that are still open must not use the other components any more.
 gateway::parts::~parts() {
     forwarding.scheduler = nullptr;
     forwarding.on_generation_change = nullptr;
@@ -144,25 +145,25 @@
     membership = std::make_unique<membership_service>(context, links,
                                                       std::make_unique<seed_list>(settings.seeds),
                                                       self, membership_service::timing{}, seed);
-    spread = std::make_unique<configuration_distributor>(context, links, *membership, state);
-    spread->set_link_speed(settings.link_mbps);
-    spread->set_pause_condition([this] { return store.is_reading_configuration(); });
-    news = std::make_unique<store_update_exchange>(context, links, *membership, forwarding, state,
-                                                   store, duty, *spread);
-    owner = std::make_unique<owner_scheduler>(links, *membership, forwarding);
-    forwarding.scheduler = owner.get();
+    distributor = std::make_unique<configuration_distributor>(context, links, *membership, state);
+    distributor->set_link_speed(settings.link_mbps);
+    distributor->set_pause_condition([this] { return store.is_reading_configuration(); });
+    store_updates = std::make_unique<store_update_exchange>(
+        context, links, *membership, forwarding, state, store, read_policy, *distributor);
+    owner_engine_scheduler = std::make_unique<owner_scheduler>(links, *membership, forwarding);
+    forwarding.scheduler = owner_engine_scheduler.get();
     quarantine =
         std::make_unique<quarantine_exchange>(context, links, *membership, forwarding.quarantine);
-    keeper = std::make_unique<quarantine_persister>(context, contracts.kept, *membership,
-                                                    forwarding.quarantine);
-    peers = std::make_unique<peer_exchange>(context, links, *membership, forwarding, *news, *spread,
-                                            *owner, *quarantine);
+    persister = std::make_unique<quarantine_persister>(context, contracts.persistent, *membership,
+                                                       forwarding.quarantine);
+    peers = std::make_unique<peer_exchange>(context, links, *membership, forwarding, *store_updates,
+                                            *distributor, *owner_engine_scheduler, *quarantine);
     evacuation = std::make_unique<evacuation_service>(context, forwarding, contracts.mover, *peers);
     state.set_reader(reader);
-    state.on_new_configuration([this](const routing_configuration& c) { take_configuration(c); });
-    state.on_cordon_change([this] { news->announce_cordons(); });
+    state.on_new_configuration([this](const routing_configuration& c) { apply_configuration(c); });
+    state.on_cordon_change([this] { store_updates->announce_cordons(); });
     state.on_backend_change([this](const registry_change& change) {
-        news->announce_change(change);
+        store_updates->announce_change(change);
         if (change.event == registry_event::leaving || change.event == registry_event::gone) {
             evacuation->on_leaving(change.backend);
         }
@@ -187,7 +188,7 @@
 void gateway::parts::connect_quarantine() {
     forwarding.quarantine.on_evidence([this](const harm_evidence& it) { quarantine->note(it); });
     forwarding.quarantine.on_change(
-        [this](const request_digest& it) { keeper->note_change(it); });
+        [this](const request_digest& it) { persister->note_change(it); });
     forwarding.quarantine.set_server_names([this](std::uint64_t life) {
         const registered_backend* known =
             forwarding.registry.find_if([life](const registered_backend& it) {
@@ -197,21 +198,21 @@
     });
 }
 
-void gateway::parts::take_configuration(const routing_configuration& configuration) const {
+void gateway::parts::apply_configuration(const routing_configuration& configuration) const {
     callers->set_limits(configuration.caller_limits);
     membership->members().update_self(0, configuration.version);
-    news->announce_configuration();
+    store_updates->announce_configuration();
 }
 
-/// A platform with shorter bounds than the waits were chosen for is served all the same; the line
-/// says why callers may then find servers gone.
-void gateway::parts::compare_with_bounds() const {
+/// The gateway also serves a platform whose bounds are shorter than its propagation times allow
+/// for. The log line explains why callers may then reach servers that are gone.
+void gateway::parts::check_bounds() const {
     const auto compare = [](std::string_view name, record_topic topic,
                             std::optional<milliseconds> bound) {
-        const milliseconds longest = max_propagation_time(topic);
-        if (bound && longest > *bound) {
+        const milliseconds max_propagation = max_propagation_time(topic);
+        if (bound && max_propagation > *bound) {
             log_event(events::bound_too_short, "bound={} bound_ms={} longest_ms={}", name,
-                      bound->count(), longest.count());
+                      bound->count(), max_propagation.count());
         }
     };
     compare("leaving", record_topic::backend_entries, settings.leaving_bound);
@@ -242,14 +243,14 @@
          !serve(settings.metrics_listen, bind(&parts::handle_metrics)))) {
         return false;
     }
-    compare_with_bounds();
+    check_bounds();
     membership->start();
-    spread->start();
-    news->start();
-    store.start(*news);
+    distributor->start();
+    store_updates->start();
+    store.start(*store_updates);
     peers->start();
     quarantine->start();
-    keeper->start();
+    persister->start();
     evacuation->start();
     asio::co_spawn(context, housekeeping(), asio::detached);
     log_event(events::started, "callers={} peers={} failure_domain={} seeds={}",
@@ -274,7 +275,7 @@
 }
 
 std::vector<std::string> gateway::parts::addresses_for(std::string_view near) {
-    std::vector<std::string> near_ones;
+    std::vector<std::string> near_addresses;
     std::vector<std::string> all;
     for (const member_facts& facts : membership->members().usable()) {
         if (facts.configuration_version == 0) {
@@ -282,12 +283,13 @@
         }
         all.push_back(facts.caller_address);
         if (facts.failure_domain.text() == near) {
-            near_ones.push_back(facts.caller_address);
+            near_addresses.push_back(facts.caller_address);
         }
     }
-    std::vector<std::string>& chosen = near_ones.size() >= least_near ? near_ones : all;
+    std::vector<std::string>& chosen =
+        near_addresses.size() >= min_near_addresses ? near_addresses : all;
     std::shuffle(chosen.begin(), chosen.end(), forwarding.random);
-    chosen.resize(std::min(chosen.size(), most_addresses));
+    chosen.resize(std::min(chosen.size(), max_addresses));
     return chosen;
 }
 
@@ -314,24 +316,24 @@
 }
 
 asio::awaitable<void> gateway::parts::handle_metrics(http_exchange& exchange) const {
-    const gateway_figures figures{state.version(),
-                                  forwarding.told_configuration,
-                                  state.rejected_documents(),
-                                  spread->shelf().encoded(),
-                                  spread->fetch().pieces(),
-                                  store.calls(),
-                                  links.traffic()};
+    const gateway_stats stats{state.version(),
+                              forwarding.told_configuration,
+                              state.rejected_documents(),
+                              distributor->provider().encoded(),
+                              distributor->fetcher().pieces(),
+                              store.calls(),
+                              links.traffic()};
     co_await exchange.respond(200, "text/plain; version=0.0.4",
-                              exposition(forwarding, figures, monotonic_now()), {});
+                              exposition(forwarding, stats, monotonic_now()), {});
 }
 
 asio::awaitable<void> gateway::parts::handle_caller(http_exchange& exchange) const {
-    const std::shared_ptr<forwarding_state> kept = shared_forwarding;
-    forwarded_call call(*kept, exchange, monotonic_now());
+    const std::shared_ptr<forwarding_state> shared_state = shared_forwarding;
+    forwarded_call call(*shared_state, exchange, monotonic_now());
     co_await call.run();
 }
 
-/// Requests that are under way aren't touched.
+/// Doesn't affect requests in progress.
 void gateway::parts::apply(const gateway_settings& changed) {
     settings.seeds = changed.seeds;
     settings.budget = changed.budget;
@@ -358,18 +360,20 @@
     }
 }
 
-/// Leaves the directory and turns not ready at once, serves until old directory answers have lapsed
-/// and open requests have ended, and ends before the grace does.
+/// Leaves the directory and reports not ready at once, serves until old directory answers have
+/// expired and open requests have ended, and ends before the grace period does.
 asio::awaitable<void> gateway::parts::drain() {
     forwarding.leaving = true;
     membership->members().begin_leaving();
     log_event(events::stopping, "open_requests={}", forwarding.counters.open);
-    const time_point began = monotonic_now();
-    const time_point lapsed = began + longest_kept * settings.directory_validity;
-    const time_point end = began + settings.grace - grace_margin;
+    const time_point began_at = monotonic_now();
+    const time_point directory_expired_at =
+        began_at + max_cache_factor * settings.directory_validity;
+    const time_point end = began_at + settings.grace - grace_margin;
     forwarding.ends_at = end;
-    while (monotonic_now() < end && (forwarding.counters.open > 0 || monotonic_now() < lapsed)) {
-        co_await pause_for(drain_check);
+    while (monotonic_now() < end &&
+           (forwarding.counters.open > 0 || monotonic_now() < directory_expired_at)) {
+        co_await pause_for(drain_poll_period);
     }
     log_event(events::stopped, "open_requests={}", forwarding.counters.open);
     flush_log();
--- a/bamboostream/src/Gateway/gateway.h
+++ b/bamboostream/src/Gateway/gateway.h
@@ -17,34 +17,36 @@
 
 namespace bamboostream {
 
-/// What a gateway is told at its start.
+/// The settings of a gateway.
 struct gateway_settings {
-    /// Where callers connect.
+    /// Address for callers.
     std::string caller_listen;
-    /// Where callers ask which addresses to use; may be the callers' own address.
+    /// Address for directory requests, with which callers ask which addresses to use. May be the
+    /// same as `caller_listen`.
     std::string directory_listen;
-    /// Where the platform asks whether this instance is ready.
+    /// Address for the platform's readiness check.
     std::string ready_listen;
-    /// Where other instances connect.
+    /// Address for other instances.
     std::string peer_listen;
-    /// Where metrics are served; empty for nowhere.
+    /// Address for metrics; empty to serve none.
     std::string metrics_listen;
     std::string failure_domain;
-    /// Thousandths of a core that this instance has; zero when the platform doesn't say.
+    /// CPU capacity of this instance in thousandths of a core; zero when the platform doesn't
+    /// report it.
     std::uint32_t capacity = 0;
-    /// Speed of this instance's link in Mbit/s; zero when the platform doesn't say.
+    /// Speed of this instance's link in Mbit/s; zero when the platform doesn't report it.
     double link_mbps = 0.0;
-    /// Addresses at which other instances may be found.
+    /// Addresses at which to look for other instances.
     std::vector<std::string> seeds;
     window_budget_rules budget;
     admission_rules admission;
-    /// Nothing when the platform sets no bound.
+    /// Empty when the platform sets no bound.
     std::optional<cold_start_rules> cold_starts;
-    /// Between the signal to end and the kill.
+    /// Time between the termination signal and the kill.
     milliseconds grace{8'000};
-    /// From the store's word that a server leaves until no request may reach it, from that of a
-    /// configuration until it must hold, and from that of a failure domain out of service until no
-    /// request may reach it there; nothing when the platform doesn't say.
+    /// Maximum times from the moment the store contains a change until it must be in effect: no
+    /// request may reach a server that leaves, a configuration must be in force, no request may
+    /// reach a failure domain that is out of service. Empty when the platform doesn't set them.
     std::optional<milliseconds> leaving_bound;
     std::optional<milliseconds> configuration_bound;
     std::optional<milliseconds> cordon_bound;
@@ -52,29 +54,29 @@
     milliseconds directory_validity{2'000};
 };
 
-/// How the directory and the readiness check look on the wire of a deployment.
+/// The wire format of a deployment's directory and readiness check.
 class directory_codec {
 public:
     virtual ~directory_codec() = default;
-    /// Whether the request asks for addresses; `near` is the caller's failure domain then.
+    /// Whether the request asks for addresses. If so, `near` is set to the caller's failure domain.
     virtual bool asks_for_addresses(const http_request& request, std::string& near) const = 0;
     virtual bool asks_whether_ready(const http_request& request) const = 0;
     virtual std::string write_addresses(const std::vector<std::string>& addresses,
                                         milliseconds valid_for) const = 0;
 };
 
-/// Everything that a deployment brings to the gateway.
+/// The interfaces that a deployment provides to the gateway.
 struct gateway_contracts {
     const request_codec& requests;
     const record_codec& records;
     const directory_codec& directory;
     record_store& store;
-    persistent_records& kept;
+    persistent_records& persistent;
     generation_mover& mover;
 };
 
-/// An instance that forwards callers' requests to backend servers on a platform which keeps its
-/// configuration and the backend servers' entries in a store. One thread does everything.
+/// An instance that forwards callers' requests to backend servers, on a platform that keeps the
+/// configuration and the entries of backend servers in a store. Everything runs on one thread.
 class gateway {
 public:
     gateway(boost::asio::io_context& context, gateway_settings settings,
@@ -83,9 +85,9 @@
     gateway(const gateway&) = delete;
     gateway& operator=(const gateway&) = delete;
 
-    /// Serves until a signal ends it. `reload` is called on SIGHUP (with true) and now and then, as
-    /// settings may change without a signal; it returns settings that have changed. Addresses to
-    /// listen at and the failure domain stay as they were at the start. The result is an exit code.
+    /// Serves until a signal ends it and returns the exit code. `reload` is called on SIGHUP (with
+    /// true) and periodically, as settings may change without a signal; it returns settings that
+    /// have changed. Listening addresses and the failure domain keep their initial values.
     int run(std::function<std::optional<gateway_settings>(bool signalled)> reload);
 
 private:
--- a/bamboostream/src/Gateway/gateway_metrics.cpp
+++ b/bamboostream/src/Gateway/gateway_metrics.cpp
@@ -15,15 +15,15 @@
                    name, type, value);
 }
 
-/// An hour stands for what was never known.
-std::uint64_t told_age_ms(duration age) {
-    constexpr duration longest = std::chrono::hours(1);
-    return static_cast<std::uint64_t>(to_milliseconds(std::min(age, longest)));
+/// One hour stands for a view that was never known.
+std::uint64_t reported_age_ms(duration age) {
+    constexpr duration max_age = std::chrono::hours(1);
+    return static_cast<std::uint64_t>(to_milliseconds(std::min(age, max_age)));
 }
 
 void append_store_calls(std::string& out, const store_call_counts& calls) {
     out += "# TYPE bamboostream_store_calls_total counter\n";
-    // The first reason is that none is made.
+    // Skips `read_reason::none`, for which no calls are made.
     for (std::size_t i = 1; i < calls.size(); ++i) {
         fmt::format_to(std::back_inserter(out),
                        "bamboostream_store_calls_total{{reason=\"{}\"}} {}\n",
@@ -31,18 +31,18 @@
     }
 }
 
-void append_configuration(std::string& out, const gateway_figures& figures) {
+void append_configuration(std::string& out, const gateway_stats& stats) {
     append(out, "gauge", "configuration_version",
-           static_cast<std::uint64_t>(figures.configuration_version));
+           static_cast<std::uint64_t>(stats.configuration_version));
     append(out, "gauge", "configuration_version_told",
-           static_cast<std::uint64_t>(figures.told_configuration_version));
-    append(out, "counter", "configurations_rejected_total", figures.configurations_rejected);
-    append(out, "counter", "configurations_encoded_total", figures.configurations_encoded);
+           static_cast<std::uint64_t>(stats.announced_configuration_version));
+    append(out, "counter", "configurations_rejected_total", stats.configurations_rejected);
+    append(out, "counter", "configurations_encoded_total", stats.configurations_encoded);
     out += "# TYPE bamboostream_configuration_pieces_total counter\n";
-    for (std::size_t i = 0; i < figures.configuration_pieces.size(); ++i) {
+    for (std::size_t i = 0; i < stats.configuration_pieces.size(); ++i) {
         fmt::format_to(std::back_inserter(out),
                        "bamboostream_configuration_pieces_total{{verdict=\"{}\"}} {}\n",
-                       to_string(static_cast<piece_result>(i)), figures.configuration_pieces[i]);
+                       to_string(static_cast<piece_result>(i)), stats.configuration_pieces[i]);
     }
 }
 
@@ -60,8 +60,7 @@
 
 } // namespace
 
-std::string exposition(const forwarding_state& state, const gateway_figures& figures,
-                       time_point now) {
+std::string exposition(const forwarding_state& state, const gateway_stats& stats, time_point now) {
     const forward_counters& c = state.counters;
     std::string out = "# TYPE bamboostream_requests_total counter\n";
     for (std::size_t i = 0; i < c.results.size(); ++i) {
@@ -83,11 +82,11 @@
     append(out, "gauge", "backend_servers", state.registry.all().size());
     append(out, "gauge", "cordoned_failure_domains", state.registry.cordoned().size());
     append(out, "gauge", "live_instances", state.live_instances);
-    append(out, "gauge", "entries_view_age_ms", told_age_ms(state.entries_view.age(now)));
-    append(out, "gauge", "documents_view_age_ms", told_age_ms(state.documents_view.age(now)));
-    append_configuration(out, figures);
-    append_store_calls(out, figures.calls_to_store);
-    append_links(out, figures.links);
+    append(out, "gauge", "entries_view_age_ms", reported_age_ms(state.entries_view.age(now)));
+    append(out, "gauge", "documents_view_age_ms", reported_age_ms(state.documents_view.age(now)));
+    append_configuration(out, stats);
+    append_store_calls(out, stats.store_calls);
+    append_links(out, stats.links);
     return out + state.latency.exposition();
 }
 
--- a/bamboostream/src/Gateway/gateway_metrics.h
+++ b/bamboostream/src/Gateway/gateway_metrics.h
@@ -10,20 +10,20 @@
 
 namespace bamboostream {
 
-/// What is counted outside forwarding.
-struct gateway_figures {
+/// Values of metrics that are not counted by forwarding.
+struct gateway_stats {
     std::int64_t configuration_version = 0;
-    /// The newest that is known of; more than the one in force while this instance lags.
-    std::int64_t told_configuration_version = 0;
+    /// The newest version that is known of; greater than the version in force while this instance
+    /// lags.
+    std::int64_t announced_configuration_version = 0;
     std::uint64_t configurations_rejected = 0;
     std::uint64_t configurations_encoded = 0;
     document_fetcher::piece_counts configuration_pieces{};
-    store_call_counts calls_to_store{};
+    store_call_counts store_calls{};
     link_traffic links;
 };
 
-/// The counters of a gateway in the usual text exposition; `now` is what ages are told at.
-std::string exposition(const forwarding_state& state, const gateway_figures& figures,
-                       time_point now);
+/// Writes the metrics of a gateway in the Prometheus text format. Ages are relative to `now`.
+std::string exposition(const forwarding_state& state, const gateway_stats& stats, time_point now);
 
 } // namespace bamboostream
--- a/bamboostream/src/Gateway/owner_scheduler.cpp
+++ b/bamboostream/src/Gateway/owner_scheduler.cpp
@@ -12,23 +12,24 @@
 
 namespace {
 
-/// The owner and one that takes over at once when it doesn't answer.
-constexpr std::size_t owners_a_service = 2;
-/// An owner answers in some 2 ms; one that is busy, or behind a lost packet, is not worth a
-/// twentieth of the 1.5 s in which callers expect their first event.
-constexpr milliseconds answer_timeout{75};
-/// An owner that didn't answer is asked again after this. Its death is known by then.
-constexpr milliseconds passed_over_for{1'000};
+/// The owner, and a standby that takes over at once when the owner doesn't answer.
+constexpr std::size_t owners_per_service = 2;
+/// An owner answers in about 2 ms. One that is busy, or whose packet was lost, is not worth waiting
+/// for longer than a twentieth of the 1.5 s in which callers expect their first event.
+constexpr milliseconds owner_timeout{75};
+/// An owner that didn't answer is asked again after this time. If it is dead, that is known by
+/// then.
+constexpr milliseconds silent_owner_pause{1'000};
 
 } // namespace
 
 std::vector<std::string> owner_scheduler::owners(const service_id& service) const {
-    return membership_.owners(service.text(), owners_a_service);
+    return membership_.owners(service.text(), owners_per_service);
 }
 
-bool owner_scheduler::is_silent(const std::string& owner, time_point now) const {
-    const auto found = silent_until_.find(owner);
-    return found != silent_until_.end() && now < found->second;
+bool owner_scheduler::is_unresponsive(const std::string& owner, time_point now) const {
+    const auto found = unresponsive_until_.find(owner);
+    return found != unresponsive_until_.end() && now < found->second;
 }
 
 std::vector<std::string> owner_scheduler::load_report_recipients() const {
@@ -36,8 +37,8 @@
     if (forwarding_.routes) {
         for (const service_rule& service : forwarding_.routes->configuration().services) {
             if (service.engine) {
-                const std::vector<std::string> told = owners(service.id);
-                out.insert(told.begin(), told.end());
+                const std::vector<std::string> recipients = owners(service.id);
+                out.insert(recipients.begin(), recipients.end());
             }
         }
     }
@@ -48,22 +49,24 @@
 void owner_scheduler::hear(const wire::LoadReportT& report, const std::string& sender) {
     const time_point now = monotonic_now();
     forwarding_.loads.hear(sender, from_wire(report), now);
-    for (const backend_outcomes& seen : outcomes_from_wire(report)) {
-        const registered_backend* engine = forwarding_.registry.find_if(
-            [&seen](const registered_backend& it) { return work_key(it.id) == seen.backend; });
+    for (const backend_outcomes& reported : outcomes_from_wire(report)) {
+        const registered_backend* engine =
+            forwarding_.registry.find_if([&reported](const registered_backend& it) {
+                return work_key(it.id) == reported.backend;
+            });
         if (engine != nullptr) {
             const std::size_t group = forwarding_.registry.usable(engine->service).size();
-            forwarding_.picker.note(engine->id, seen.succeeded, seen.failed, group, now);
-            forwarding_.reading.note(
-                engine->service, seen.backend,
-                {static_cast<double>(seen.tokens_read), static_cast<double>(seen.reading_ms)});
+            forwarding_.picker.note(engine->id, reported.succeeded, reported.failed, group, now);
+            forwarding_.reading.note(engine->service, reported.backend,
+                                     {static_cast<double>(reported.tokens_read),
+                                      static_cast<double>(reported.reading_ms)});
         }
     }
 }
 
 asio::awaitable<std::optional<engine_choice>>
 owner_scheduler::choose(const engine_request& request) {
-    // The owner may not know of those yet.
+    // The owner may not know yet which engines are excluded here.
     engine_request asked = request;
     for (const registered_backend* engine : forwarding_.registry.usable(request.service)) {
         if (forwarding_.picker.passed_over(engine->id, monotonic_now())) {
@@ -74,22 +77,23 @@
         if (owner == membership_.own_address()) {
             co_return std::nullopt;
         }
-        if (is_silent(owner, monotonic_now())) {
+        if (is_unresponsive(owner, monotonic_now())) {
             continue;
         }
         link_failure why;
         const auto reply =
-            co_await links_.call(owner, make_frame(to_wire(asked)), answer_timeout, why);
+            co_await links_.call(owner, make_frame(to_wire(asked)), owner_timeout, why);
         if (!reply || reply->message.type != wire::Message::AdmitReply) {
             const time_point now = monotonic_now();
-            std::erase_if(silent_until_, [now](const auto& item) { return now >= item.second; });
-            silent_until_[owner] = now + passed_over_for;
+            std::erase_if(unresponsive_until_,
+                          [now](const auto& item) { return now >= item.second; });
+            unresponsive_until_[owner] = now + silent_owner_pause;
             ++forwarding_.counters.owners_silent;
             continue;
         }
         const wire::AdmitReplyT& answer = *reply->message.AsAdmitReply();
-        // An engine that takes no work by what is known here isn't sent to on the word of another,
-        // whose view may be older.
+        // An engine that takes no work according to this instance isn't used even if the owner
+        // chooses it: the owner's view may be older.
         const registered_backend* engine = forwarding_.registry.find(backend_id(answer.backend));
         if (engine == nullptr || !forwarding_.registry.takes_work(engine->id)) {
             co_return std::nullopt;
--- a/bamboostream/src/Gateway/owner_scheduler.h
+++ b/bamboostream/src/Gateway/owner_scheduler.h
@@ -18,15 +18,15 @@
 
 namespace bamboostream {
 
-/// One instance chooses the engines of a service for all.
+/// Lets one instance choose the engines of a service for all instances.
 ///
-/// The owner, and a deputy in another failure domain, are told of all work at the engines; whoever
-/// has a generation to place asks the owner, then the deputy. The owner counts each choice at once,
-/// so that no two instances choose by the same idle engine. When neither answers, an instance
-/// chooses by its own work alone, which spreads generations at random.
+/// The owner, and a standby in another failure domain, receive reports of all work at the engines.
+/// An instance that has a generation to place asks the owner, then the standby. The owner counts
+/// each choice at once, so that no two instances choose the same idle engine. When neither answers,
+/// an instance chooses by its own work alone, which spreads generations at random.
 ///
-/// Telling every instance of each change instead costs the square of the instances, and choices by
-/// views of different ages crowd the same engines.
+/// Reporting each change to every instance instead costs the square of the number of instances, and
+/// choices by views of different ages crowd the same engines. Lives on one thread.
 class owner_scheduler final : public engine_scheduler {
 public:
     owner_scheduler(link_hub& links, membership_service& membership, forwarding_state& forwarding)
@@ -35,26 +35,26 @@
     boost::asio::awaitable<std::optional<engine_choice>>
     choose(const engine_request& request) override;
     sender_role role(const service_id& service) const override;
-    /// Chooses for another instance.
+    /// Chooses an engine for another instance.
     std::unique_ptr<wire::FrameT> answer(const wire::AdmitRequestT& request,
                                          const std::string& sender);
-    /// Takes what another instance tells of its work and of what became of it.
+    /// Processes another instance's report of its work and of the outcomes.
     void hear(const wire::LoadReportT& report, const std::string& sender);
-    /// Looks which services' engines this instance chooses for all.
+    /// Determines for each service whether this instance is its owner or standby.
     void update_roles(time_point now);
-    /// The instances that must know of work at the engines; this one excluded.
+    /// The instances that must know of work at the engines, without this one.
     std::vector<std::string> load_report_recipients() const;
 
 private:
-    /// The owner and the deputy of a service's engines.
+    /// The owner and the standby of a service.
     std::vector<std::string> owners(const service_id& service) const;
-    bool is_silent(const std::string& owner, time_point now) const;
+    bool is_unresponsive(const std::string& owner, time_point now) const;
 
     link_hub& links_;
     membership_service& membership_;
     forwarding_state& forwarding_;
-    /// Owners that have not answered in time, and until when they are passed over.
-    std::unordered_map<std::string, time_point> silent_until_;
+    /// Owners that have not answered in time, and until when they are skipped.
+    std::unordered_map<std::string, time_point> unresponsive_until_;
 };
 
 } // namespace bamboostream
--- a/bamboostream/src/Gateway/peer_exchange.cpp
+++ b/bamboostream/src/Gateway/peer_exchange.cpp
@@ -14,22 +14,22 @@
 
 namespace {
 
-/// Work at engines is told as soon as it changes: instances that choose by a view 200 ms old all
-/// send to the engine that was idle then, and prompts queue there while others are idle (in a crowd
-/// of 45 prompts a second over 44 engines a third of the first events came after 1.5 s). Changes
-/// within this time go out together.
-constexpr milliseconds load_gather{4};
-/// Repeats what was told, for instances that have joined or lost a frame, and tells of plain calls,
-/// which end before the news of them would arrive.
+/// Changes of the work at engines are reported at once: instances that choose by a view that is 200
+/// ms old all send to the engine that was idle then, and prompts queue there while other engines
+/// are idle (in a burst of 45 prompts per second over 44 engines, a third of the first events came
+/// after 1.5 s). Changes within this time are sent together.
+constexpr milliseconds load_batch_time{4};
+/// Interval at which the last report is repeated, for instances that have joined or lost a frame.
+/// It also reports plain calls, which end before a report of their own would arrive.
 constexpr milliseconds load_period{400};
-/// Generations of an instance that doesn't answer by then are not moved in this round.
-constexpr milliseconds gather_timeout{150};
+/// Generations of an instance that doesn't answer within this time are not moved in this round.
+constexpr milliseconds collect_timeout{150};
 
-/// Answers of several peers that are asked at once.
-struct gathered_answers {
-    explicit gathered_answers(asio::io_context& context) : complete(context) {}
+/// The answers of several peers that are asked at the same time.
+struct pending_answers {
+    explicit pending_answers(asio::io_context& context) : complete(context) {}
     std::vector<move_candidate> candidates;
-    std::size_t missing = 0;
+    std::size_t outstanding = 0;
     asio::steady_timer complete;
 };
 
@@ -37,29 +37,31 @@
 
 peer_exchange::peer_exchange(asio::io_context& context, link_hub& links,
                              membership_service& membership, forwarding_state& forwarding,
-                             store_update_exchange& news, configuration_distributor& spread,
-                             owner_scheduler& owner, quarantine_exchange& quarantine)
+                             store_update_exchange& store_updates,
+                             configuration_distributor& distributor, owner_scheduler& scheduler,
+                             quarantine_exchange& quarantine)
     : context_(context), links_(links), membership_(membership), forwarding_(forwarding),
-      news_(news), spread_(spread), owner_(owner), quarantine_(quarantine), load_due_(context) {}
+      store_updates_(store_updates), distributor_(distributor), owner_scheduler_(scheduler),
+      quarantine_(quarantine), load_due_(context) {}
 
 void peer_exchange::start() {
     asio::co_spawn(context_, load_loop(), asio::detached);
 }
 
 asio::awaitable<void> peer_exchange::load_loop() {
-    bool told_none = true;
+    bool reported_none = true;
     while (true) {
         const std::vector<backend_work_entry> own = forwarding_.loads.own();
         forwarding_.live_instances = membership_.usable_peers().size() + 1;
         forwarding_.cold_starts.note_instances(forwarding_.live_instances, monotonic_now());
-        owner_.update_roles(monotonic_now());
-        if (!own.empty() || !told_none) {
-            links_.send_to_each(owner_.load_report_recipients(),
+        owner_scheduler_.update_roles(monotonic_now());
+        if (!own.empty() || !reported_none) {
+            links_.send_to_each(owner_scheduler_.load_report_recipients(),
                                 make_frame(to_wire(own, forwarding_.engine_outcomes.take())));
         }
-        told_none = own.empty();
+        reported_none = own.empty();
         co_await wait_on(load_due_, monotonic_now() + load_period);
-        co_await pause_for(load_gather);
+        co_await pause_for(load_batch_time);
     }
 }
 
@@ -73,22 +75,23 @@
     case wire::Message::Probe:
         co_return co_await membership_.handle_probe(*frame->message.AsProbe(), frame->sender);
     case wire::Message::DocumentRequest:
-        spread_.answer(*frame->message.AsDocumentRequest(), frame->sender);
+        distributor_.on_request(*frame->message.AsDocumentRequest(), frame->sender);
         co_return nullptr;
     case wire::Message::DocumentPiece:
-        spread_.take(*frame->message.AsDocumentPiece(), frame->sender);
+        distributor_.on_piece(*frame->message.AsDocumentPiece(), frame->sender);
         co_return nullptr;
     case wire::Message::BackendListRequest:
-        co_return news_.answer_backends(*frame->message.AsBackendListRequest());
+        co_return store_updates_.answer_backends(*frame->message.AsBackendListRequest());
     case wire::Message::LoadReport:
-        owner_.hear(*frame->message.AsLoadReport(), frame->sender);
+        owner_scheduler_.hear(*frame->message.AsLoadReport(), frame->sender);
         co_return nullptr;
     case wire::Message::AdmitRequest:
-        co_return owner_.answer(*frame->message.AsAdmitRequest(), frame->sender);
+        co_return owner_scheduler_.answer(*frame->message.AsAdmitRequest(), frame->sender);
     case wire::Message::MovableRequest:
         co_return answer_movable(backend_id(frame->message.AsMovableRequest()->backend));
     case wire::Message::StoreNews:
-        news_.hear(frame->sender, frame->sender_start_stamp, *frame->message.AsStoreNews());
+        store_updates_.hear(frame->sender, frame->sender_start_stamp,
+                            *frame->message.AsStoreNews());
         co_return nullptr;
     case wire::Message::MoveNotice: {
         const wire::MoveNoticeT& notice = *frame->message.AsMoveNotice();
@@ -111,11 +114,11 @@
 }
 
 asio::awaitable<std::vector<move_candidate>> peer_exchange::collect_movable(backend_id backend) {
-    auto answers = std::make_shared<gathered_answers>(context_);
-    // Who has generations there has told so. Asking everybody costs the product of the instances
-    // and the engines that leave.
+    auto answers = std::make_shared<pending_answers>(context_);
+    // Only instances that have reported generations there are asked. Asking every instance costs
+    // the product of the number of instances and of leaving engines.
     const std::vector<std::string> peers = forwarding_.loads.holders(backend, monotonic_now());
-    answers->missing = peers.size();
+    answers->outstanding = peers.size();
     for (const std::string& peer : peers) {
         wire::MovableRequestT request;
         request.backend = backend.text();
@@ -124,20 +127,20 @@
             [this, answers, peer, request]() -> asio::awaitable<void> {
                 link_failure why;
                 const auto reply =
-                    co_await links_.call(peer, make_frame(request), gather_timeout, why);
+                    co_await links_.call(peer, make_frame(request), collect_timeout, why);
                 if (reply && reply->message.type == wire::Message::MovableReply) {
                     for (auto& generation : from_wire(*reply->message.AsMovableReply())) {
                         answers->candidates.push_back({std::move(generation), peer});
                     }
                 }
-                if (--answers->missing == 0) {
+                if (--answers->outstanding == 0) {
                     answers->complete.cancel();
                 }
             },
             asio::detached);
     }
-    if (answers->missing > 0) {
-        co_await wait_on(answers->complete, monotonic_now() + gather_timeout);
+    if (answers->outstanding > 0) {
+        co_await wait_on(answers->complete, monotonic_now() + collect_timeout);
     }
     co_return answers->candidates;
 }
--- a/bamboostream/src/Gateway/peer_exchange.h
+++ b/bamboostream/src/Gateway/peer_exchange.h
@@ -16,21 +16,22 @@
 
 namespace bamboostream {
 
-/// What instances of the gateway tell each other: work under way, generations that move, and, by
-/// `store_update_exchange`, what the store says. Lives on one thread.
+/// Handles the messages between instances of the gateway: reports of work, generations that move,
+/// configurations, quarantine evidence and, through `store_update_exchange`, what the store
+/// contains. Lives on one thread.
 class peer_exchange final : public evacuation_peers {
 public:
     peer_exchange(boost::asio::io_context& context, link_hub& links, membership_service& membership,
-                  forwarding_state& forwarding, store_update_exchange& news,
-                  configuration_distributor& spread, owner_scheduler& owner,
+                  forwarding_state& forwarding, store_update_exchange& store_updates,
+                  configuration_distributor& distributor, owner_scheduler& scheduler,
                   quarantine_exchange& quarantine);
 
     void start();
-    /// Answers a frame of another instance.
+    /// Handles a frame from another instance. Returns the reply, or null when there is none.
     boost::asio::awaitable<std::unique_ptr<wire::FrameT>>
     handle(std::unique_ptr<wire::FrameT> frame);
 
-    /// The work of this instance at engines has changed.
+    /// Called when the work of this instance at engines has changed.
     void on_load_change() { load_due_.cancel(); }
 
     bool coordinates(const service_id& service) const override;
@@ -47,9 +48,9 @@
     link_hub& links_;
     membership_service& membership_;
     forwarding_state& forwarding_;
-    store_update_exchange& news_;
-    configuration_distributor& spread_;
-    owner_scheduler& owner_;
+    store_update_exchange& store_updates_;
+    configuration_distributor& distributor_;
+    owner_scheduler& owner_scheduler_;
     quarantine_exchange& quarantine_;
     boost::asio::steady_timer load_due_;
 };
--- a/bamboostream/src/Gateway/peer_frames.h
+++ b/bamboostream/src/Gateway/peer_frames.h
@@ -19,16 +19,18 @@
 
 namespace bamboostream {
 
-// What gateways tell each other, between the product's types and the frames on their links. Times
-// go as what is left of them, since clocks of instances aren't compared.
+// Conversions between the gateway's types and the frames on the links between gateways. Points in
+// time are sent as remaining times or ages, since clocks of instances aren't compared.
 
 std::unique_ptr<wire::BackendFactT> to_wire(const registered_backend& backend, time_point now);
 registered_backend from_wire(const wire::BackendFactT& fact, time_point now);
-/// The moment of which a frame that is heard now tells; nothing when it tells of none. Taken as a
-/// moment long ago it would look like an outage of the store.
+/// The point in time described by the age in a frame that is received now. Returns nothing for the
+/// age that stands for "unknown": interpreted as a time long ago it would look like an outage of
+/// the store.
 std::optional<time_point> time_from_age(std::uint32_t age_on_wire, time_point now);
 
-/// Cordons go with the position up to which they hold; zero for an instance that doesn't know any.
+/// Cordons are sent with the position up to which they hold; zero for an instance that doesn't know
+/// any.
 std::vector<std::string> to_wire(const std::set<failure_domain_id>& domains);
 cordoned_domains cordons_from_wire(std::span<const std::string> domains, std::uint64_t position);
 
@@ -38,10 +40,10 @@
 std::vector<backend_outcomes> outcomes_from_wire(const wire::LoadReportT& report);
 
 wire::AdmitRequestT to_wire(const engine_request& request);
-/// Without the engines' memory, which the receiver's own configuration says.
+/// The engines' memory size isn't sent; the receiver takes it from its own configuration.
 engine_request from_wire(const wire::AdmitRequestT& request);
 wire::AdmitReplyT to_wire(const engine_choice& choice);
-/// `engine` is the receiver's own record of the one that the reply names.
+/// `engine` is the receiver's own record of the engine that the reply names.
 engine_choice from_wire(const wire::AdmitReplyT& reply, const registered_backend& engine);
 
 wire::MovableReplyT to_wire(std::span<const movable_generation> generations);
--- a/bamboostream/src/Gateway/quarantine_persister.cpp
+++ b/bamboostream/src/Gateway/quarantine_persister.cpp
@@ -18,14 +18,15 @@
 
 namespace {
 
-/// The second writes when the first is cut off from the store.
+/// Number of instances that write a record. The second one writes when the first is cut off from
+/// the store.
 constexpr std::size_t writers = 2;
 /// Until a seed has answered, an instance doesn't know its peers.
-constexpr milliseconds first_contact{200};
+constexpr milliseconds discovery_time{200};
 constexpr milliseconds failure_backoff{1'000};
 constexpr std::chrono::hours idle_wait{1};
 
-bool is_among(const std::vector<std::string>& names, const std::string& name) {
+bool contains_name(const std::vector<std::string>& names, const std::string& name) {
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
@@ -84,31 +85,31 @@
 
 void quarantine_persister::note_change(const request_digest& request) {
     if (quarantine_.holds(request) == stored_.contains(request) ||
-        !is_among(membership_.owners(request.text(), writers), membership_.own_address())) {
+        !contains_name(membership_.owners(request.text(), writers), membership_.own_address())) {
         return;
     }
-    unwritten_.insert(request);
+    pending_writes_.insert(request);
     due_.cancel();
 }
 
 asio::awaitable<void> quarantine_persister::restore() {
-    co_await pause_for(first_contact);
+    co_await pause_for(discovery_time);
     const auto order = membership_.owners("store", store_read_policy::order_length);
-    if (!is_among(order, membership_.own_address())) {
+    if (!contains_name(order, membership_.own_address())) {
         co_return;
     }
     while (true) {
         store_failure why;
         const auto records = co_await store_.read_all(why);
         if (records) {
-            take(*records);
+            restore_records(*records);
             co_return;
         }
         co_await pause_for(failure_backoff);
     }
 }
 
-void quarantine_persister::take(std::span<const keyed_record> records) {
+void quarantine_persister::restore_records(std::span<const keyed_record> records) {
     const time_point now = monotonic_now();
     for (const keyed_record& record : records) {
         const auto evidence = read_evidence(record, now, wall_now());
@@ -124,20 +125,20 @@
 
 asio::awaitable<void> quarantine_persister::write_loop() {
     while (true) {
-        if (unwritten_.empty()) {
+        if (pending_writes_.empty()) {
             co_await wait_on(due_, monotonic_now() + idle_wait);
             continue;
         }
-        const request_digest request = *unwritten_.begin();
+        const request_digest request = *pending_writes_.begin();
         if (co_await write(request)) {
-            unwritten_.erase(request);
+            pending_writes_.erase(request);
         } else {
             co_await pause_for(failure_backoff);
         }
     }
 }
 
-/// True when the store has what is known here.
+/// Returns true when the store matches what is known here.
 asio::awaitable<bool> quarantine_persister::write(request_digest request) {
     const bool held = quarantine_.holds(request);
     keyed_record record{request.text(), {}};
--- a/bamboostream/src/Gateway/quarantine_persister.h
+++ b/bamboostream/src/Gateway/quarantine_persister.h
@@ -17,32 +17,32 @@
 
 namespace bamboostream {
 
-/// The evidence against one request as a record in the store. Times are wall times, since the
-/// instances that read it may have started since.
+/// Serializes the evidence against one request as a record for the store. Times are wall-clock
+/// times, since the instances that read it may have started later.
 std::string write_evidence(std::span<const harm_evidence> evidence, time_point now,
                            std::int64_t wall_now_ms);
-/// Nothing when the record can't be read.
+/// Returns nothing when the record can't be parsed.
 std::optional<std::vector<harm_evidence>> read_evidence(const keyed_record& record, time_point now,
                                                         std::int64_t wall_now_ms);
 
-/// Keeps held requests in the platform's store, so that they survive the end of all instances.
+/// Persists held requests in the platform's store, so that they survive the end of all instances.
 ///
-/// Two instances, by rendezvous hashing of the digest, write the record of a held request and
-/// remove it on release. After a start the instances that read the store for all read these
-/// records; the others learn them through `quarantine_exchange`. A failed write is repeated until
-/// the store has what is known here. Lives on one thread.
+/// Two instances, chosen by rendezvous hashing of the digest, write the record of a held request
+/// and remove it on release. After a start the designated readers of the store and their standbys
+/// read these records; the others receive them through `quarantine_exchange`. A failed write is
+/// repeated until the store matches what is known here. Lives on one thread.
 class quarantine_persister {
 public:
     quarantine_persister(boost::asio::io_context& context, persistent_records& store,
                          const membership_service& membership, quarantine_registry& quarantine);
 
     void start();
-    /// A request is held from now on, or no longer.
+    /// Called when a request starts or stops being held.
     void note_change(const request_digest& request);
 
 private:
     boost::asio::awaitable<void> restore();
-    void take(std::span<const keyed_record> records);
+    void restore_records(std::span<const keyed_record> records);
     boost::asio::awaitable<void> write_loop();
     boost::asio::awaitable<bool> write(request_digest request);
 
@@ -50,10 +50,10 @@
     persistent_records& store_;
     const membership_service& membership_;
     quarantine_registry& quarantine_;
-    /// Held requests that the store has, as far as this instance knows.
+    /// Held requests that the store contains, as far as this instance knows.
     std::set<request_digest> stored_;
     /// Requests whose record must be written or removed.
-    std::set<request_digest> unwritten_;
+    std::set<request_digest> pending_writes_;
     boost::asio::steady_timer due_;
 };
 
--- a/bamboostream/src/Gateway/store_follower.cpp
+++ b/bamboostream/src/Gateway/store_follower.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// Between two reads: entries of backend servers come in groups, and taking a few at once saves
-/// calls. It adds to the time in which a leaving server is noticed.
+/// Pause between two reads: entries of backend servers come in groups, and reading a few at once
+/// saves calls. It adds to the time until a leaving server is noticed.
 constexpr milliseconds pause_between_reads{60};
 
 std::string_view name_of(record_topic topic) {
@@ -31,8 +31,8 @@
     return names.at(static_cast<std::size_t>(reason));
 }
 
-void store_follower::start(read_coordinator& plan) {
-    plan_ = &plan;
+void store_follower::start(read_coordinator& coordinator) {
+    coordinator_ = &coordinator;
     asio::co_spawn(context_, follow(documents_), asio::detached);
     asio::co_spawn(context_, follow(entries_), asio::detached);
 }
@@ -52,20 +52,22 @@
 
 read_reason store_follower::reason_to_read(const topic_position& position) const {
     const time_point now = monotonic_now();
-    if (!position.read_before && !plan_->has_topic_from_peers(position.topic)) {
-        return plan_->awaits_peers(position.topic, now) ? read_reason::none : read_reason::start;
+    if (!position.ever_read && !coordinator_->has_topic_from_peers(position.topic)) {
+        return coordinator_->awaits_peers(position.topic, now) ? read_reason::none
+                                                               : read_reason::start;
     }
-    if (plan_->must_read(position.topic, now)) {
-        return plan_->role() == store_read_role::reader ? read_reason::duty
-                                                        : read_reason::stale_views;
+    if (coordinator_->must_read(position.topic, now)) {
+        return coordinator_->role() == store_read_role::reader ? read_reason::duty
+                                                               : read_reason::stale_views;
     }
     if (position.topic == record_topic::backend_entries) {
         return entries_reread_requested_ ? read_reason::missed_changes : read_reason::none;
     }
-    return plan_->must_read_configuration(now) ? read_reason::configuration : read_reason::none;
+    return coordinator_->must_read_configuration(now) ? read_reason::configuration
+                                                      : read_reason::none;
 }
 
-void store_follower::note_reason(topic_position& position, read_reason reason) {
+void store_follower::set_reason(topic_position& position, read_reason reason) {
     if (position.reason == reason) {
         return;
     }
@@ -78,9 +80,9 @@
     int failures = 0;
     while (true) {
         const read_reason reason = reason_to_read(position);
-        note_reason(position, reason);
+        set_reason(position, reason);
         if (reason == read_reason::none) {
-            // What comes meanwhile is told by others; the position here is out of date.
+            // Meanwhile the peers announce changes, so the position here becomes outdated.
             position.next.reset();
             failures = 0;
             on_store_answer(position, true, {});
@@ -91,10 +93,11 @@
         position.reading = true;
         const bool answered = co_await advance(position);
         position.reading = false;
-        position.read_before = position.read_before || answered;
+        position.ever_read = position.ever_read || answered;
         failures = answered ? 0 : failures + 1;
-        co_await pause_for(answered ? pause_between_reads
-                                    : store_read_policy::failure_backoff(plan_->role(), failures));
+        co_await pause_for(
+            answered ? pause_between_reads
+                     : store_read_policy::failure_backoff(coordinator_->role(), failures));
     }
 }
 
@@ -107,26 +110,26 @@
     if (all) {
         page = co_await store_.newest(position.topic, why);
     } else {
-        const milliseconds wait = plan_->read_wait(position.topic, monotonic_now());
+        const milliseconds wait = coordinator_->read_wait(position.topic, monotonic_now());
         page = co_await store_.read(position.topic, *position.next, wait, why);
     }
     const bool answered = page || why.code == store_error::gap;
     on_store_answer(position, answered, why);
     if (page) {
-        take(position, *page, all, known_before);
-        plan_->on_store_answer();
+        apply_page(position, *page, all, known_before);
+        coordinator_->on_store_answer();
     } else if (why.code == store_error::gap) {
         position.next.reset();
     }
     co_return answered;
 }
 
-/// Others may have told of later records while the page was under way. Taken as it is, it would
-/// bring back a server whose removal is known, so what is known already is left out: of a page of
-/// following records its beginning, of the newest of all keys the whole. A store that has gone back
-/// by itself is believed.
-void store_follower::take(topic_position& position, const record_page& page, bool all,
-                          std::int64_t known_before) {
+/// Peers may have announced later records while the page was in transit. Applying the whole page
+/// would bring back a server whose removal is known, so records that are already known are skipped:
+/// the beginning of a page of consecutive records, or the whole of a page with the newest records
+/// of all keys. A store whose own position has gone back is believed.
+void store_follower::apply_page(topic_position& position, const record_page& page, bool all,
+                                std::int64_t known_before) {
     const time_point now = monotonic_now();
     const std::int64_t first = position.next.value_or(page.next);
     position.next = page.next;
@@ -134,7 +137,7 @@
     state_.update_view(position.topic, now, now);
     const bool documents = position.topic == record_topic::operator_documents;
     if (documents) {
-        // Versions tell configurations apart, whatever their order.
+        // Configurations are ordered by their version, whatever the order of their arrival.
         state_.apply_records(position.topic, page.records, all, now);
     }
     const std::int64_t known = state_.position(position.topic);
--- a/bamboostream/src/Gateway/store_read_policy.cpp
+++ b/bamboostream/src/Gateway/store_read_policy.cpp
@@ -4,29 +4,29 @@
 
 namespace bamboostream {
 
-void store_read_policy::record_view(const std::string& teller, record_topic topic,
+void store_read_policy::record_view(const std::string& announcer, record_topic topic,
                                     time_point as_of) {
-    const auto [found, added] = told_.try_emplace({teller, topic}, as_of);
+    const auto [found, added] = last_views_.try_emplace({announcer, topic}, as_of);
     found->second = std::max(found->second, as_of);
 }
 
 bool store_read_policy::is_covered(record_topic topic, std::span<const std::string> order,
-                                   std::string_view self, milliseconds limit,
+                                   std::string_view self, milliseconds max_age,
                                    time_point now) const {
-    const auto place = std::find(order.begin(), order.end(), self);
-    return std::any_of(order.begin(), place, [&](const std::string& teller) {
-        const auto found = told_.find({teller, topic});
-        return found != told_.end() && now - found->second <= limit;
+    const auto position = std::find(order.begin(), order.end(), self);
+    return std::any_of(order.begin(), position, [&](const std::string& announcer) {
+        const auto found = last_views_.find({announcer, topic});
+        return found != last_views_.end() && now - found->second <= max_age;
     });
 }
 
 store_read_role store_read_policy::role_of(std::span<const std::string> order,
                                            std::string_view self) {
-    const auto place = std::find(order.begin(), order.end(), self);
-    if (place == order.end()) {
+    const auto position = std::find(order.begin(), order.end(), self);
+    if (position == order.end()) {
         return store_read_role::other;
     }
-    const auto rank = static_cast<std::size_t>(place - order.begin());
+    const auto rank = static_cast<std::size_t>(position - order.begin());
     return rank < reader_count ? store_read_role::reader : store_read_role::standby;
 }
 
@@ -53,19 +53,19 @@
 milliseconds store_read_policy::failure_backoff(store_read_role role, int failures) {
     constexpr milliseconds reader_pause{250};
     constexpr milliseconds substitute_pause{500};
-    constexpr milliseconds first_pause{700};
-    constexpr milliseconds longest_pause{2'800};
+    constexpr milliseconds initial_pause{700};
+    constexpr milliseconds max_pause{2'800};
     if (role == store_read_role::reader) {
         return reader_pause;
     }
     if (role == store_read_role::standby) {
         return substitute_pause;
     }
-    milliseconds pause = first_pause;
-    for (int i = 1; i < failures && pause < longest_pause; ++i) {
+    milliseconds pause = initial_pause;
+    for (int i = 1; i < failures && pause < max_pause; ++i) {
         pause *= 2;
     }
-    return std::min(pause, longest_pause);
+    return std::min(pause, max_pause);
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Gateway/store_update_exchange.cpp
+++ b/bamboostream/src/Gateway/store_update_exchange.cpp
@@ -16,34 +16,35 @@
 
 namespace {
 
-/// How often an instance looks whether it lags behind its peers.
+/// Interval at which an instance checks whether it lags behind its peers.
 constexpr milliseconds catch_up_period{300};
 constexpr milliseconds peer_timeout{500};
-/// After a start an instance knows others once a seed has answered a probe.
-constexpr milliseconds first_contact{150};
-/// So long after its start an instance that isn't among those that read for all waits to hear of a
+/// After a start an instance knows its peers once a seed has answered a probe.
+constexpr milliseconds discovery_time{150};
+/// For this long after its start an instance that isn't in the reading order waits to be told of a
 /// configuration.
-constexpr milliseconds handing_on_at_start{700};
-/// Some 100 bytes each; a page keeps a link of 10 Mbit/s busy for 20 ms.
-constexpr std::size_t backends_a_page = 256;
-/// How often an instance that reads the store tells the others how old its view is, when no answer
-/// of the store has made it tell before; changes go out at once.
-constexpr milliseconds news_period{300};
-/// Answers within this time are told together. While entries change ten times a second each would
-/// go to all instances otherwise.
-constexpr milliseconds news_gather{200};
-/// More changes at once aren't told one by one: after a start or an outage these are all servers,
-/// and what comes behind them on a link would wait for as long as they take.
-constexpr std::size_t most_changes_told = 512;
-/// How often the age of the view is looked at.
-constexpr milliseconds watch_period{100};
-/// With many instances, one in each failure domain passes a reader's tellings on: two readers that
-/// tell each of 294 others five times a second send 3,000 frames a second. Each reader has a relay
-/// of its own there, so that one that is frozen or cut off takes away the word of one reader only.
-constexpr std::size_t relays_a_domain = 2;
-
-/// A telling that left later than it says is that much older.
-std::uint32_t older(std::uint32_t age_ms, milliseconds by) {
+constexpr milliseconds peer_wait_at_start{700};
+/// A backend takes about 100 bytes; a page keeps a link of 10 Mbit/s busy for 20 ms.
+constexpr std::size_t backends_per_page = 256;
+/// Interval at which an instance that reads the store announces how old its view is, unless an
+/// answer of the store caused an announcement before. Changes are announced at once.
+constexpr milliseconds announcement_period{300};
+/// Answers within this time are announced together. While entries change ten times per second, each
+/// would go to all instances otherwise.
+constexpr milliseconds announcement_batch_time{200};
+/// More changes at once aren't announced individually: after a start or an outage these are all
+/// servers, and whatever is queued behind them on a link would wait until they are sent.
+constexpr std::size_t max_announced_changes = 512;
+/// Interval at which the age of the view is checked.
+constexpr milliseconds view_check_period{100};
+/// With many instances, one in each failure domain relays a reader's announcements: two readers
+/// that send to each of 294 others five times per second send 3,000 frames per second. Each reader
+/// uses a relay of its own, so that a relay that is frozen or cut off stops the announcements of
+/// one reader only.
+constexpr std::size_t relays_per_domain = 2;
+
+/// Adds the delay of an announcement to an age that it reports.
+std::uint32_t increase_age(std::uint32_t age_ms, milliseconds by) {
     constexpr std::uint32_t unknown = std::numeric_limits<std::uint32_t>::max();
     return age_ms == unknown ? unknown : age_on_wire(milliseconds(age_ms) + by);
 }
@@ -53,16 +54,17 @@
 store_update_exchange::store_update_exchange(asio::io_context& context, link_hub& links,
                                              membership_service& membership,
                                              forwarding_state& forwarding, deployment_state& state,
-                                             store_follower& store, store_read_policy& duty,
-                                             configuration_distributor& spread)
+                                             store_follower& store, store_read_policy& read_policy,
+                                             configuration_distributor& distributor)
     : context_(context), links_(links), membership_(membership), forwarding_(forwarding),
-      state_(state), store_(store), duty_(duty), spread_(spread), due_(context) {}
+      state_(state), store_(store), read_policy_(read_policy), distributor_(distributor),
+      due_(context) {}
 
 void store_update_exchange::start() {
     started_at_ = monotonic_now();
-    asio::co_spawn(context_, tell_loop(), asio::detached);
+    asio::co_spawn(context_, announce_loop(), asio::detached);
     asio::co_spawn(context_, catch_up_loop(), asio::detached);
-    asio::co_spawn(context_, watch_loop(), asio::detached);
+    asio::co_spawn(context_, view_age_loop(), asio::detached);
 }
 
 std::vector<std::string> store_update_exchange::reading_order() const {
@@ -70,7 +72,7 @@
 }
 
 bool store_update_exchange::must_read(record_topic topic, time_point now) const {
-    return duty_.must_read(topic, reading_order(), membership_.own_address(), now);
+    return read_policy_.must_read(topic, reading_order(), membership_.own_address(), now);
 }
 
 bool store_update_exchange::has_topic_from_peers(record_topic topic) const {
@@ -78,29 +80,29 @@
            state_.cordons().position > 0;
 }
 
-/// A start of all would have every instance read the configuration at the same moment, whole, which
-/// keeps the links of small ones and the store busy while callers wait. From another instance it
-/// comes compressed, and only those that read for all ask the store.
+/// Otherwise, when all instances start together, each would read the whole configuration at the
+/// same moment, which keeps the store and the links of small instances busy while callers wait.
+/// From another instance it comes compressed, and only the designated readers ask the store.
 bool store_update_exchange::awaits_peers(record_topic topic, time_point now) const {
     if (topic != record_topic::operator_documents) {
         return false;
     }
     const duration since = now - started_at_;
-    if (since < first_contact) {
+    if (since < discovery_time) {
         return true;
     }
     if (membership_.usable_peers().empty() || role() != store_read_role::other) {
         return false;
     }
-    return since < handing_on_at_start || spread_.is_receiving(now);
+    return since < peer_wait_at_start || distributor_.is_fetching(now);
 }
 
 milliseconds store_update_exchange::read_wait(record_topic topic, time_point now) const {
-    return duty_.read_wait(topic, reading_order(), membership_.own_address(), now);
+    return read_policy_.read_wait(topic, reading_order(), membership_.own_address(), now);
 }
 
 bool store_update_exchange::must_read_configuration(time_point now) {
-    return spread_.must_read_store(now);
+    return distributor_.must_read_from_store(now);
 }
 
 store_read_role store_update_exchange::role() const {
@@ -108,13 +110,13 @@
 }
 
 void store_update_exchange::on_store_answer() {
-    if (monotonic_now() - told_at_ >= news_gather) {
+    if (monotonic_now() - announced_at_ >= announcement_batch_time) {
         due_.cancel();
     }
 }
 
 void store_update_exchange::announce_change(const registry_change& change) {
-    untold_.push_back(change);
+    pending_changes_.push_back(change);
     due_.cancel();
 }
 
@@ -126,39 +128,40 @@
     due_.cancel();
 }
 
-/// A change goes out at once: a leaving engine's generations have some 2 s to move.
-asio::awaitable<void> store_update_exchange::tell_loop() {
+/// Changes are announced at once: the generations of a leaving engine have about 2 s to move.
+asio::awaitable<void> store_update_exchange::announce_loop() {
     while (true) {
-        co_await wait_on(due_, monotonic_now() + news_period);
-        tell();
+        co_await wait_on(due_, monotonic_now() + announcement_period);
+        announce();
     }
 }
 
-void store_update_exchange::tell() {
-    const std::int64_t previous = std::exchange(told_position_, state_.entries().position());
-    const std::vector<registry_change> changes = std::exchange(untold_, {});
+void store_update_exchange::announce() {
+    const std::int64_t previous = std::exchange(announced_position_, state_.entries().position());
+    const std::vector<registry_change> changes = std::exchange(pending_changes_, {});
     const time_point now = monotonic_now();
-    // Without the store, whoever found out that an engine leaves tells it.
-    const bool found_out = !changes.empty() && forwarding_.registry.store_away();
+    // Without the store, the instance that discovers that an engine is leaving announces it.
+    const bool discovered_change = !changes.empty() && forwarding_.registry.store_away();
     const bool reads = store_.has_fresh_own_view(record_topic::backend_entries, now) ||
                        store_.has_fresh_own_view(record_topic::operator_documents, now);
-    if (!(reads && role() != store_read_role::other) && !found_out) {
+    if (!(reads && role() != store_read_role::other) && !discovered_change) {
         return;
     }
-    told_at_ = now;
+    announced_at_ = now;
     wire::StoreNewsT news;
     news.fresh = store_.has_fresh_own_view(record_topic::backend_entries, now);
     news.configuration_version = state_.version();
     news.previous = static_cast<std::uint64_t>(previous);
-    news.sequence = static_cast<std::uint64_t>(told_position_);
+    news.sequence = static_cast<std::uint64_t>(announced_position_);
     news.entries_age_ms = age_on_wire(store_.own_view_age(record_topic::backend_entries, now));
     news.documents_age_ms = age_on_wire(store_.own_view_age(record_topic::operator_documents, now));
-    if (changes.size() > most_changes_told) {
-        // Says that there is more than it tells: whoever knows less asks for the list, by pages.
+    if (changes.size() > max_announced_changes) {
+        // Announces more changes than the message contains: an instance that knows less requests
+        // the list in pages.
         news.previous = news.sequence;
     }
     for (const registry_change& change : changes) {
-        if (changes.size() > most_changes_told && change.event != registry_event::leaving) {
+        if (changes.size() > max_announced_changes && change.event != registry_event::leaving) {
             continue;
         }
         auto fact = to_wire(change.backend, now);
@@ -169,10 +172,10 @@
     news.documents_sequence = static_cast<std::uint64_t>(state_.cordons().position);
     news.cordoned = to_wire(state_.cordons().domains);
     news.told_at_ms = machine_now().count();
-    send_to_all(std::move(news));
+    broadcast(std::move(news));
 }
 
-void store_update_exchange::send_to_all(wire::StoreNewsT news) {
+void store_update_exchange::broadcast(wire::StoreNewsT news) {
     if (!membership_.has_many_peers()) {
         links_.send_to_each(membership_.usable_peers(), make_frame(std::move(news)));
         return;
@@ -183,7 +186,7 @@
     const bool first = !order.empty() && order.front() == membership_.own_address();
     std::vector<std::string> relays;
     for (const std::string& domain : membership_.failure_domains()) {
-        const auto candidates = membership_.owners_in(domain, "relay", relays_a_domain);
+        const auto candidates = membership_.owners_in(domain, "relay", relays_per_domain);
         if (domain != here) {
             relays.push_back(first ? candidates.front() : candidates.back());
         }
@@ -192,10 +195,10 @@
     links_.send_to_each(relays, make_frame(std::move(news)));
 }
 
-/// The ages stay as they were told: whoever hears it finds out by the teller's clock how long it
-/// was under way.
-void store_update_exchange::pass_on(const std::string& sender, std::int64_t stamp,
-                                    wire::StoreNewsT news) {
+/// The ages are relayed unchanged: the receiver determines by the announcer's clock how long the
+/// announcement was in transit.
+void store_update_exchange::relay(const std::string& sender, std::int64_t stamp,
+                                  wire::StoreNewsT news) {
     news.pass_on = false;
     news.teller = sender;
     news.teller_stamp = stamp;
@@ -203,8 +206,9 @@
                         make_frame(std::move(news)));
 }
 
-/// What another instance knew some time ago is known here now that it has been told.
-void store_update_exchange::note_ages(const wire::StoreNewsT& news, time_point now) {
+/// Records what the announcing instance knew at the time of its announcement, provided that this
+/// instance now knows as much.
+void store_update_exchange::update_views(const wire::StoreNewsT& news, time_point now) {
     const auto entries_as_of = time_from_age(news.entries_age_ms, now);
     const auto documents_as_of = time_from_age(news.documents_age_ms, now);
     if (entries_as_of && static_cast<std::int64_t>(news.sequence) <= state_.entries().position()) {
@@ -217,19 +221,20 @@
     }
 }
 
-asio::awaitable<void> store_update_exchange::watch_loop() {
+asio::awaitable<void> store_update_exchange::view_age_loop() {
     while (true) {
-        co_await pause_for(watch_period);
+        co_await pause_for(view_check_period);
         const time_point now = monotonic_now();
         state_.update_outage(now);
         forwarding_.registry.expire(now);
         state_.report_changes(update_source::grace, now);
-        watch_topic(record_topic::backend_entries, entries_stale_, now);
-        watch_topic(record_topic::operator_documents, documents_stale_, now);
+        update_staleness(record_topic::backend_entries, entries_stale_, now);
+        update_staleness(record_topic::operator_documents, documents_stale_, now);
     }
 }
 
-void store_update_exchange::watch_topic(record_topic topic, bool& stale, time_point now) const {
+void store_update_exchange::update_staleness(record_topic topic, bool& stale,
+                                             time_point now) const {
     const bool entries = topic == record_topic::backend_entries;
     const duration age =
         entries ? forwarding_.entries_view.age(now) : forwarding_.documents_view.age(now);
@@ -249,55 +254,57 @@
 void store_update_exchange::hear(const std::string& sender, std::int64_t stamp,
                                  const wire::StoreNewsT& news) {
     if (news.pass_on) {
-        pass_on(sender, stamp, news);
+        relay(sender, stamp, news);
     }
     const bool relayed = !news.teller.empty();
-    const std::string& teller = relayed ? news.teller : sender;
+    const std::string& announcer = relayed ? news.teller : sender;
     if (news.told_at_ms <= 0) {
-        take(sender, news, monotonic_now());
+        apply_update(sender, news, monotonic_now());
         return;
     }
-    const milliseconds late = delays_.excess_over_min(teller, relayed ? news.teller_stamp : stamp,
-                                                      milliseconds(news.told_at_ms), machine_now());
+    const milliseconds transit_time =
+        delays_.excess_over_min(announcer, relayed ? news.teller_stamp : stamp,
+                                milliseconds(news.told_at_ms), machine_now());
     wire::StoreNewsT aged = news;
-    aged.entries_age_ms = older(news.entries_age_ms, late);
-    aged.documents_age_ms = older(news.documents_age_ms, late);
-    take(sender, aged, monotonic_now());
+    aged.entries_age_ms = increase_age(news.entries_age_ms, transit_time);
+    aged.documents_age_ms = increase_age(news.documents_age_ms, transit_time);
+    apply_update(sender, aged, monotonic_now());
 }
 
-void store_update_exchange::take(const std::string& sender, const wire::StoreNewsT& news,
-                                 time_point now) {
-    const std::string& teller = news.teller.empty() ? sender : news.teller;
+void store_update_exchange::apply_update(const std::string& sender, const wire::StoreNewsT& news,
+                                         time_point now) {
+    const std::string& announcer = news.teller.empty() ? sender : news.teller;
     if (const auto as_of = time_from_age(news.entries_age_ms, now)) {
-        duty_.record_view(teller, record_topic::backend_entries, *as_of);
+        read_policy_.record_view(announcer, record_topic::backend_entries, *as_of);
     }
-    // An instance of the version before tells of configurations only: its word doesn't keep this
-    // one from reading what the operator says of failure domains.
+    // An instance of the previous release announces configurations only. Its announcements must not
+    // keep this instance from reading the operator's cordons.
     const auto documents_as_of = time_from_age(news.documents_age_ms, now);
     if (documents_as_of && news.documents_sequence > 0) {
-        duty_.record_view(teller, record_topic::operator_documents, *documents_as_of);
+        read_policy_.record_view(announcer, record_topic::operator_documents, *documents_as_of);
     }
     state_.apply_peer_cordons(cordons_from_wire(news.cordoned, news.documents_sequence));
-    spread_.on_version_announced(sender, news.configuration_version);
-    if (teller != sender) {
-        spread_.on_version_announced(teller, news.configuration_version);
+    distributor_.on_version_announced(sender, news.configuration_version);
+    if (announcer != sender) {
+        distributor_.on_version_announced(announcer, news.configuration_version);
     }
-    // Leaving is believed from anyone: it is never taken back.
+    // A report that a server is leaving is accepted from any instance, because leaving is never
+    // revoked.
     for (const auto& fact : news.changed) {
         if (fact->leaving) {
             forwarding_.registry.mark_leaving(backend_id(fact->id), fact->started_ms);
         }
     }
     state_.report_changes(update_source::announcement, now);
-    const auto change_action = state_.entries().evaluate(static_cast<std::int64_t>(news.previous),
-                                                         static_cast<std::int64_t>(news.sequence));
-    note_ages(news, now);
-    switch (change_action) {
+    const auto action = state_.entries().evaluate(static_cast<std::int64_t>(news.previous),
+                                                  static_cast<std::int64_t>(news.sequence));
+    update_views(news, now);
+    switch (action) {
     case change_cursor::change_action::known:
-        forget_removed(news, now);
+        apply_removals(news, now);
         return;
     case change_cursor::change_action::resync:
-        fill_gap(sender, now);
+        recover_missed_changes(sender, now);
         return;
     case change_cursor::change_action::apply:
         break;
@@ -314,19 +321,20 @@
     state_.report_changes(update_source::announcement, now);
 }
 
-/// A telling was missed. Who follows the store itself finds what it was about there.
-void store_update_exchange::fill_gap(const std::string& teller, time_point now) {
+/// Called when an announcement was missed. An instance that follows the store itself finds the
+/// changes there.
+void store_update_exchange::recover_missed_changes(const std::string& announcer, time_point now) {
     if (store_.has_fresh_own_view(record_topic::backend_entries, now)) {
         return;
     }
     if (store_.failing_since()) {
-        asio::co_spawn(context_, ask_backends(teller), asio::detached);
+        asio::co_spawn(context_, fetch_backends(announcer), asio::detached);
     } else {
         store_.request_entries_reread();
     }
 }
 
-void store_update_exchange::forget_removed(const wire::StoreNewsT& news, time_point now) {
+void store_update_exchange::apply_removals(const wire::StoreNewsT& news, time_point now) {
     if (!state_.entries().accepts_removal(static_cast<std::int64_t>(news.sequence))) {
         return;
     }
@@ -351,11 +359,11 @@
             std::uniform_int_distribution<std::size_t> any(0, peers.size() - 1);
             const std::string& peer = peers[any(random_)];
             if (is_stale(record_topic::backend_entries, monotonic_now())) {
-                co_await ask_backends(peer);
+                co_await fetch_backends(peer);
             }
             if (is_stale(record_topic::operator_documents, monotonic_now())) {
-                spread_.query_peer(peer);
-                co_await ask_cordons(peer);
+                distributor_.query_peer(peer);
+                co_await fetch_cordons(peer);
             }
         }
         co_await pause_for(catch_up_period);
@@ -363,7 +371,7 @@
 }
 
 asio::awaitable<std::optional<wire::BackendListT>>
-store_update_exchange::ask_backend_page(std::string peer, std::string after) {
+store_update_exchange::fetch_backend_page(std::string peer, std::string after) {
     wire::BackendListRequestT request;
     request.paged = true;
     request.after = std::move(after);
@@ -375,18 +383,18 @@
     co_return std::move(*reply->message.AsBackendList());
 }
 
-asio::awaitable<void> store_update_exchange::ask_cordons(std::string peer) {
+asio::awaitable<void> store_update_exchange::fetch_cordons(std::string peer) {
     wire::BackendListRequestT request;
     request.paged = true;
     request.documents_only = true;
     link_failure why;
     const auto reply = co_await links_.call(peer, make_frame(request), peer_timeout, why);
     if (reply && reply->message.type == wire::Message::BackendList) {
-        take_documents_view(*reply->message.AsBackendList(), monotonic_now());
+        apply_documents_view(*reply->message.AsBackendList(), monotonic_now());
     }
 }
 
-void store_update_exchange::take_documents_view(const wire::BackendListT& list, time_point now) {
+void store_update_exchange::apply_documents_view(const wire::BackendListT& list, time_point now) {
     state_.apply_peer_cordons(cordons_from_wire(list.cordoned, list.documents_sequence));
     const auto as_of = time_from_age(list.documents_age_ms, now);
     const auto position = static_cast<std::int64_t>(list.documents_sequence);
@@ -396,23 +404,23 @@
     }
 }
 
-/// Page by page: asked for in one answer with a time limit, the list of a large deployment never
-/// comes over a small link, and a probe waits behind it.
+/// Requests the list in pages: as a single answer with a timeout, the list of a large deployment
+/// never arrives over a slow link, and probes wait behind it.
 ///
-/// The pages are not of one moment. The list is complete up to the position of its first page; what
-/// later ones tell beyond that is told once more by the changes that follow.
-asio::awaitable<void> store_update_exchange::ask_backends(std::string peer) {
-    if (asking_for_all_) {
+/// The pages are from different moments. The list is complete up to the position of its first page;
+/// changes beyond that which later pages contain are announced again by the changes that follow.
+asio::awaitable<void> store_update_exchange::fetch_backends(std::string peer) {
+    if (listing_backends_) {
         co_return;
     }
-    asking_for_all_ = true;
+    listing_backends_ = true;
     std::vector<peer_backend> entries;
     std::optional<wire::BackendListT> first;
     time_point first_page_at{};
     std::string after;
     bool more = true;
     while (more) {
-        auto page = co_await ask_backend_page(peer, after);
+        auto page = co_await fetch_backend_page(peer, after);
         if (!page) {
             break;
         }
@@ -423,14 +431,14 @@
         more = page->more && !page->entries.empty();
         after = page->entries.empty() ? std::string() : page->entries.back()->id;
         if (!first) {
-            take_documents_view(*page, now);
-            // The age is of the moment in which the page was written.
+            apply_documents_view(*page, now);
+            // The age refers to the moment in which the page was written.
             page->entries.clear();
             first = std::move(page);
             first_page_at = now;
         }
     }
-    asking_for_all_ = false;
+    listing_backends_ = false;
     if (!first || more) {
         co_return;
     }
@@ -457,14 +465,14 @@
     if (request.documents_only) {
         return make_reply(std::move(list));
     }
-    const std::size_t most =
-        request.paged ? backends_a_page : std::numeric_limits<std::size_t>::max();
-    const auto page = forwarding_.registry.page_after(backend_id(request.after), most);
+    const std::size_t max_entries =
+        request.paged ? backends_per_page : std::numeric_limits<std::size_t>::max();
+    const auto page = forwarding_.registry.page_after(backend_id(request.after), max_entries);
     for (const registered_backend& backend : page) {
         list.entries.push_back(to_wire(backend, now));
         list.entries.back()->lapsed = forwarding_.registry.has_lapsed(backend.id);
     }
-    list.more = page.size() == most;
+    list.more = page.size() == max_entries;
     return make_reply(std::move(list));
 }
 
--- a/bamboostream/src/Gateway/store_update_exchange.h
+++ b/bamboostream/src/Gateway/store_update_exchange.h
@@ -23,15 +23,15 @@
 
 namespace bamboostream {
 
-/// What instances tell each other of the platform's store: that there is a newer configuration,
-/// backend servers, and how old the view of these is. Lives on one thread. See also
-/// `store_read_policy`.
+/// Exchanges between instances what the platform's store contains: the version of the newest
+/// configuration, changes of backend servers, cordons, and how old the view of these is. Lives on
+/// one thread. See also `store_read_policy`.
 class store_update_exchange final : public read_coordinator {
 public:
     store_update_exchange(boost::asio::io_context& context, link_hub& links,
                           membership_service& membership, forwarding_state& forwarding,
-                          deployment_state& state, store_follower& store, store_read_policy& duty,
-                          configuration_distributor& spread);
+                          deployment_state& state, store_follower& store,
+                          store_read_policy& read_policy, configuration_distributor& distributor);
 
     void start();
 
@@ -41,47 +41,48 @@
     milliseconds read_wait(record_topic topic, time_point now) const override;
     bool must_read_configuration(time_point now) override;
     store_read_role role() const override;
-    /// The others are told how fresh this instance's view is.
+    /// Announces how fresh this instance's view is.
     void on_store_answer() override;
-    /// A change of the registry or the configuration, which the others are told when this instance
-    /// reads for them.
+    /// Announces a change of the registry, the configuration or the cordons, if this instance reads
+    /// for the others.
     void announce_change(const registry_change& change);
     void announce_configuration();
     void announce_cordons();
 
-    /// Takes the telling of another instance, in the life that began at `stamp`, and passes it on
-    /// when asked to.
+    /// Processes the announcement of another instance, whose incarnation began at `stamp`, and
+    /// relays it if requested.
     void hear(const std::string& sender, std::int64_t stamp, const wire::StoreNewsT& news);
     std::unique_ptr<wire::FrameT> answer_backends(const wire::BackendListRequestT& request) const;
 
 private:
-    /// Those that read the store for all, first choice first.
+    /// The readers and standbys of the store, in order of preference.
     std::vector<std::string> reading_order() const;
-    boost::asio::awaitable<void> tell_loop();
-    void tell();
-    /// Sends to all others: directly, or with many of them by one in each other failure domain.
-    void send_to_all(wire::StoreNewsT news);
-    void pass_on(const std::string& sender, std::int64_t stamp, wire::StoreNewsT news);
-    void take(const std::string& sender, const wire::StoreNewsT& news, time_point now);
-    void note_ages(const wire::StoreNewsT& news, time_point now);
-    /// Takes what a telling with no new record says of entries that have lapsed or are given up.
-    void forget_removed(const wire::StoreNewsT& news, time_point now);
-    void fill_gap(const std::string& teller, time_point now);
+    boost::asio::awaitable<void> announce_loop();
+    void announce();
+    /// Sends to all other instances: directly, or when there are many, through a relay in each
+    /// other failure domain.
+    void broadcast(wire::StoreNewsT news);
+    void relay(const std::string& sender, std::int64_t stamp, wire::StoreNewsT news);
+    void apply_update(const std::string& sender, const wire::StoreNewsT& news, time_point now);
+    void update_views(const wire::StoreNewsT& news, time_point now);
+    /// Applies removals of lapsed or dropped entries from an announcement without new records.
+    void apply_removals(const wire::StoreNewsT& news, time_point now);
+    void recover_missed_changes(const std::string& announcer, time_point now);
 
-    /// Asks peers for what this instance has missed.
+    /// Requests from peers what this instance has missed.
     boost::asio::awaitable<void> catch_up_loop();
-    boost::asio::awaitable<void> ask_backends(std::string peer);
+    boost::asio::awaitable<void> fetch_backends(std::string peer);
     /// Asks a peer which failure domains are cordoned.
-    boost::asio::awaitable<void> ask_cordons(std::string peer);
-    void take_documents_view(const wire::BackendListT& list, time_point now);
-    boost::asio::awaitable<std::optional<wire::BackendListT>> ask_backend_page(std::string peer,
-                                                                               std::string after);
+    boost::asio::awaitable<void> fetch_cordons(std::string peer);
+    void apply_documents_view(const wire::BackendListT& list, time_point now);
+    boost::asio::awaitable<std::optional<wire::BackendListT>> fetch_backend_page(std::string peer,
+                                                                                 std::string after);
     bool is_stale(record_topic topic, time_point now) const;
 
-    /// Carries out what depends on the age of the view alone.
-    boost::asio::awaitable<void> watch_loop();
-    /// Logs when what is known of a topic has become old, and when it is known again.
-    void watch_topic(record_topic topic, bool& stale, time_point now) const;
+    /// Performs the actions that depend only on the age of the view.
+    boost::asio::awaitable<void> view_age_loop();
+    /// Logs when the view of a topic becomes stale and when it is fresh again.
+    void update_staleness(record_topic topic, bool& stale, time_point now) const;
 
     boost::asio::io_context& context_;
     link_hub& links_;
@@ -89,15 +90,15 @@
     forwarding_state& forwarding_;
     deployment_state& state_;
     store_follower& store_;
-    store_read_policy& duty_;
-    configuration_distributor& spread_;
-    /// Changes that the others have not been told of.
-    std::vector<registry_change> untold_;
-    std::int64_t told_position_ = 0;
+    store_read_policy& read_policy_;
+    configuration_distributor& distributor_;
+    /// Changes that have not been announced yet.
+    std::vector<registry_change> pending_changes_;
+    std::int64_t announced_position_ = 0;
     time_point started_at_{};
-    time_point told_at_{};
-    /// A peer has been asked for all its entries; more answers would only fill the links.
-    bool asking_for_all_ = false;
+    time_point announced_at_{};
+    /// A peer has been asked for all its entries; further answers would only fill the links.
+    bool listing_backends_ = false;
     announcement_delay delays_;
     bool entries_stale_ = true;
     bool documents_stale_ = true;
