--- a/bamboostream/src/Entry/instance.cpp
+++ b/bamboostream/src/Entry/instance.cpp
@@ -27,7 +27,7 @@
 
 /// Beyond the validity of directory answers, so that one given at the last moment still serves.
 constexpr milliseconds lapse_margin{1'000};
-constexpr milliseconds drain_check{50};
+constexpr milliseconds drain_poll_period{50};
 /// For the last records of the ledger and the last progress reports.
 constexpr milliseconds last_words{600};
 constexpr milliseconds self_update{200};
@@ -245,7 +245,7 @@
     core.closed = true;
     const time_point until = monotonic_now() + core.settings.drain_limit;
     while (core.open_requests.load() > 0 && monotonic_now() < until) {
-        co_await pause_for(drain_check);
+        co_await pause_for(drain_poll_period);
     }
     co_await pause_for(last_words);
     log_event(events::stopped, "open_requests={}", core.open_requests.load());
--- a/bamboostream/src/Gateway/deployment_state.cpp
+++ b/bamboostream/src/Gateway/deployment_state.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Documents that are taken while one is being read; of more the oldest are given up, since newer
-/// ones come later.
-constexpr std::size_t most_unread = 3;
+/// Documents that are queued, including the one that is being parsed. When there are more, the
+/// oldest waiting one is dropped, since a newer one follows.
+constexpr std::size_t max_pending = 3;
 
 const event_kind& event_of(registry_event event) {
     switch (event) {
@@ -33,7 +33,7 @@
 
 } // namespace
 
-std::string_view to_string(fact_source source) {
+std::string_view to_string(update_source source) {
     constexpr std::array<std::string_view, 5> names = {"store", "peer_list", "telling", "grace",
                                                        "server"};
     return names.at(static_cast<std::size_t>(source));
@@ -44,55 +44,55 @@
     log_event(events::record_rejected, "topic=operator_documents origin={} reason={}", origin, why);
 }
 
-void deployment_state::take_configuration(std::string text, std::string_view origin,
-                                          document_listener judged) {
-    unread_document taken{nullptr, std::string(origin), {std::move(judged)}};
+void deployment_state::submit_configuration(std::string text, std::string_view origin,
+                                            document_listener on_result) {
+    pending_document submitted{nullptr, std::string(origin), {std::move(on_result)}};
     if (document_ && text == *document_) {
-        taken.settle(document_verdict::not_newer);
+        submitted.notify_listeners(document_result::not_newer);
         return;
     }
     if (text.size() > most_document_bytes) {
         reject(origin, "too large");
-        taken.settle(document_verdict::rejected);
+        submitted.notify_listeners(document_result::rejected);
         return;
     }
-    for (unread_document& waiting : unread_) {
+    for (pending_document& waiting : pending_) {
         if (*waiting.text == text) {
-            waiting.judged.push_back(std::move(taken.judged.front()));
+            waiting.listeners.push_back(std::move(submitted.listeners.front()));
             return;
         }
     }
-    taken.text = std::make_shared<const std::string>(std::move(text));
-    unread_.push_back(std::move(taken));
-    if (unread_.size() == 1) {
-        read_next();
-    } else if (unread_.size() > most_unread) {
-        // Not the one that is being read.
-        const auto oldest = unread_.begin() + 1;
-        const unread_document dropped = std::move(*oldest);
-        unread_.erase(oldest);
-        dropped.settle(document_verdict::given_up);
+    submitted.text = std::make_shared<const std::string>(std::move(text));
+    pending_.push_back(std::move(submitted));
+    if (pending_.size() == 1) {
+        parse_next();
+    } else if (pending_.size() > max_pending) {
+        // The first one is being parsed.
+        const auto oldest = pending_.begin() + 1;
+        const pending_document dropped = std::move(*oldest);
+        pending_.erase(oldest);
+        dropped.notify_listeners(document_result::superseded);
     }
 }
 
-void deployment_state::unread_document::settle(document_verdict verdict) const {
-    for (const document_listener& listener : judged) {
+void deployment_state::pending_document::notify_listeners(document_result result) const {
+    for (const document_listener& listener : listeners) {
         if (listener) {
-            listener(verdict);
+            listener(result);
         }
     }
 }
 
-void deployment_state::read_next() {
+void deployment_state::parse_next() {
     const auto take = [this](std::shared_ptr<const route_table> table, const std::string& why) {
-        const unread_document document = std::move(unread_.front());
-        unread_.pop_front();
-        document.settle(judge(document, std::move(table), why));
-        if (!unread_.empty()) {
-            read_next();
+        const pending_document document = std::move(pending_.front());
+        pending_.pop_front();
+        document.notify_listeners(apply_document(document, std::move(table), why));
+        if (!pending_.empty()) {
+            parse_next();
         }
     };
-    const std::shared_ptr<const std::string> text = unread_.front().text;
+    const std::shared_ptr<const std::string> text = pending_.front().text;
     if (reader_ != nullptr) {
         reader_->read(text, take);
         return;
@@ -103,15 +103,15 @@
          why);
 }
 
-document_verdict deployment_state::judge(const unread_document& document,
-                                         std::shared_ptr<const route_table> table,
-                                         const std::string& why) {
+document_result deployment_state::apply_document(const pending_document& document,
+                                                 std::shared_ptr<const route_table> table,
+                                                 const std::string& why) {
     if (!table) {
         reject(document.origin, why);
-        return document_verdict::rejected;
+        return document_result::rejected;
     }
     if (table->configuration().version <= version_) {
-        return document_verdict::not_newer;
+        return document_result::not_newer;
     }
     version_ = table->configuration().version;
     document_ = document.text;
@@ -121,39 +121,39 @@
     if (configuration_listener_) {
         configuration_listener_(forwarding_.routes->configuration());
     }
-    return document_verdict::in_force;
+    return document_result::in_force;
 }
 
-void deployment_state::take_records(record_topic topic, std::span<const keyed_record> records,
-                                    bool all, time_point now) {
+void deployment_state::apply_records(record_topic topic, std::span<const keyed_record> records,
+                                     bool all, time_point now) {
     if (topic == record_topic::backend_entries) {
-        take_entries(records, all, now);
+        apply_entries(records, all, now);
         return;
     }
     for (const keyed_record& record : records) {
         if (record.key == codec_.configuration_key() && !record.value.empty()) {
-            take_configuration(record.value, "store");
+            submit_configuration(record.value, "store");
         }
     }
 }
 
-void deployment_state::reject_key(const std::string& key) {
-    constexpr std::size_t most_remembered = 256;
-    if (unknown_keys_.size() < most_remembered && unknown_keys_.insert(key).second) {
+void deployment_state::reject_unknown_key(const std::string& key) {
+    constexpr std::size_t max_remembered = 256;
+    if (unknown_keys_.size() < max_remembered && unknown_keys_.insert(key).second) {
         ++rejected_documents_;
         log_event(events::record_rejected, "topic=operator_documents key={} reason=unknown key",
                   key);
     }
 }
 
-void deployment_state::take_cordon_records(std::span<const keyed_record> records, bool all,
-                                           std::int64_t position) {
+void deployment_state::apply_cordon_records(std::span<const keyed_record> records, bool all,
+                                            std::int64_t position) {
     cordoned_domains known{all ? std::set<failure_domain_id>{} : cordons_.domains, position};
     for (const keyed_record& record : records) {
         const auto domain = codec_.cordoned_domain(record.key);
         if (!domain) {
             if (record.key != codec_.configuration_key()) {
-                reject_key(record.key);
+                reject_unknown_key(record.key);
             }
         } else if (record.value.empty()) {
             known.domains.erase(*domain);
@@ -164,9 +164,9 @@
     set_cordons(std::move(known), "store");
 }
 
-void deployment_state::take_cordons(const cordoned_domains& told) {
-    if (told.position > cordons_.position) {
-        set_cordons(told, "peer");
+void deployment_state::apply_peer_cordons(const cordoned_domains& peer_cordons) {
+    if (peer_cordons.position > cordons_.position) {
+        set_cordons(peer_cordons, "peer");
     }
 }
 
@@ -188,8 +188,8 @@
     }
 }
 
-void deployment_state::take_entries(std::span<const keyed_record> records, bool all,
-                                    time_point now) {
+void deployment_state::apply_entries(std::span<const keyed_record> records, bool all,
+                                     time_point now) {
     std::vector<registered_backend> entries;
     std::vector<backend_id> unreadable;
     for (const keyed_record& record : records) {
@@ -214,35 +214,35 @@
     if (all) {
         forwarding_.registry.learn_all(entries, unreadable, now);
     }
-    report_changes(fact_source::store, now);
+    report_changes(update_source::store, now);
 }
 
-void deployment_state::take_peer_backends(std::span<const peer_backend> entries,
-                                          std::int64_t position, time_point now) {
+void deployment_state::apply_peer_backends(std::span<const peer_backend> entries,
+                                           std::int64_t position, time_point now) {
     for (const peer_backend& entry : entries) {
         if (entry.backend.leaving) {
             forwarding_.registry.mark_leaving(entry.backend.id, entry.backend.started_ms);
         }
     }
-    const bool knows_nothing = forwarding_.registry.empty() && entries_.position() == 0;
-    if (!entries.empty() && (position > entries_.position() || knows_nothing)) {
-        entries_.caught_up(position);
+    const bool has_no_entries = forwarding_.registry.empty() && entries_.position() == 0;
+    if (!entries.empty() && (position > entries_.position() || has_no_entries)) {
+        entries_.set_position(position);
         forwarding_.registry.learn_from_peer(entries, now);
     }
-    report_changes(fact_source::peer_list, now);
+    report_changes(update_source::peer_list, now);
 }
 
-void deployment_state::note_view(record_topic topic, time_point as_of, time_point now) {
+void deployment_state::update_view(record_topic topic, time_point as_of, time_point now) {
     if (topic == record_topic::operator_documents) {
         forwarding_.documents_view.known(as_of);
         return;
     }
-    watch_outage(now);
+    update_outage(now);
     forwarding_.entries_view.known(as_of);
-    watch_outage(now);
+    update_outage(now);
 }
 
-void deployment_state::watch_outage(time_point now) {
+void deployment_state::update_outage(time_point now) {
     const view_age& view = forwarding_.entries_view;
     if (!view.ever_known()) {
         return;
@@ -254,7 +254,7 @@
     }
 }
 
-void deployment_state::report_changes(fact_source source, time_point now) {
+void deployment_state::report_changes(update_source source, time_point now) {
     for (const registry_change& change : forwarding_.registry.take_changes()) {
         const registered_backend& backend = change.backend;
         log_event(event_of(change.event),
--- a/bamboostream/src/Gateway/peer_exchange.h
+++ b/bamboostream/src/Gateway/peer_exchange.h
@@ -3,8 +3,8 @@
 #include "bamboostream/src/Control/membership_service.h"
 #include "bamboostream/src/Control/quarantine_exchange.h"
 #include "bamboostream/src/Evacuation/evacuation_service.h"
-#include "bamboostream/src/Gateway/pool_owner.h"
-#include "bamboostream/src/Gateway/store_news.h"
+#include "bamboostream/src/Gateway/owner_scheduler.h"
+#include "bamboostream/src/Gateway/store_update_exchange.h"
 #include "bamboostream/src/Links/link.h"
 
 #include <boost/asio/awaitable.hpp>
@@ -16,26 +16,29 @@
 
 namespace bamboostream {
 
-/// What instances of the gateway tell each other: work under way, generations that move, and, by
-/// `store_news`, what the store says. Lives on one thread.
+/// Handles the messages between instances of the gateway: reports of work, generations that move,
+/// configurations, quarantine evidence and, through `store_update_exchange`, what the store
+/// contains. Lives on one thread.
 class peer_exchange final : public evacuation_peers {
 public:
     peer_exchange(boost::asio::io_context& context, link_hub& links, membership_service& membership,
-                  forwarding_state& forwarding, store_news& news, configuration_spread& spread,
-                  pool_owner& owner, quarantine_exchange& quarantine);
+                  forwarding_state& forwarding, store_update_exchange& store_updates,
+                  configuration_distributor& distributor, owner_scheduler& scheduler,
+                  quarantine_exchange& quarantine);
 
     void start();
-    /// Answers a frame of another instance.
+    /// Handles a frame from another instance. Returns the reply, or null when there is none.
     boost::asio::awaitable<std::unique_ptr<wire::FrameT>>
     handle(std::unique_ptr<wire::FrameT> frame);
 
-    /// The work of this instance at engines has changed.
-    void note_load() { load_due_.cancel(); }
+    /// Called when the work of this instance at engines has changed.
+    void on_load_change() { load_due_.cancel(); }
 
-    bool drives(const service_id& service) const override;
-    boost::asio::awaitable<std::vector<move_candidate>> gather(backend_id backend) override;
-    void tell(const std::string& instance, const std::string& generation,
-              const move_notice& notice) override;
+    bool coordinates(const service_id& service) const override;
+    boost::asio::awaitable<std::vector<move_candidate>>
+    collect_movable(backend_id backend) override;
+    void send_move_notice(const std::string& instance, const std::string& generation,
+                          const move_notice& notice) override;
 
 private:
     boost::asio::awaitable<void> load_loop();
@@ -45,9 +48,9 @@
     link_hub& links_;
     membership_service& membership_;
     forwarding_state& forwarding_;
-    store_news& news_;
-    configuration_spread& spread_;
-    pool_owner& owner_;
+    store_update_exchange& store_updates_;
+    configuration_distributor& distributor_;
+    owner_scheduler& owner_scheduler_;
     quarantine_exchange& quarantine_;
     boost::asio::steady_timer load_due_;
 };
--- a/test/platform/peer_group.cpp
+++ b/test/platform/peer_group.cpp
@@ -88,15 +88,16 @@
     membership = std::make_unique<membership_service>(
         context, links, std::make_unique<fixed_seeds>(std::move(seeds)), self, times,
         stable_hash(self.id.address));
-    spread = std::make_unique<configuration_spread>(context, links, *membership, state);
+    spread = std::make_unique<configuration_distributor>(context, links, *membership, state);
     spread->set_link_speed(link_mbps);
-    spread->pause_while([this] { return follower.fetches_configuration(); });
-    news = std::make_unique<store_news>(context, links, *membership, forwarding, state, follower,
-                                        duty, *spread);
-    state.read_beside(reader);
-    state.on_cordon_change([this] { news->note_cordons(); });
-    state.on_backend_change([this](const registry_change& change) { news->note_change(change); });
-    owner = std::make_unique<pool_owner>(links, *membership, forwarding);
+    spread->set_pause_condition([this] { return follower.is_reading_configuration(); });
+    news = std::make_unique<store_update_exchange>(context, links, *membership, forwarding, state,
+                                                   follower, duty, *spread);
+    state.set_reader(reader);
+    state.on_cordon_change([this] { news->announce_cordons(); });
+    state.on_backend_change(
+        [this](const registry_change& change) { news->announce_change(change); });
+    owner = std::make_unique<owner_scheduler>(links, *membership, forwarding);
     quarantine =
         std::make_unique<quarantine_exchange>(context, links, *membership, forwarding.quarantine);
     forwarding.quarantine.on_evidence([this](const harm_evidence& it) { quarantine->note(it); });
--- a/test/platform/store_view_test.cpp
+++ b/test/platform/store_view_test.cpp
@@ -51,15 +51,15 @@
 // waiting for anybody to notice a failure.
 TEST_P(reading_duty, passes_to_the_next_when_views_grow_old) {
     const duty_row& row = GetParam();
-    store_duty duty;
-    const auto hear = [&](const std::string& teller, int age_ms) {
+    store_read_policy duty;
+    const auto record_view = [&](const std::string& teller, int age_ms) {
         if (age_ms >= 0) {
-            duty.hear(teller, entries, start - milliseconds(age_ms));
+            duty.record_view(teller, entries, start - milliseconds(age_ms));
         }
     };
-    hear("r1", row.first_reader_age);
-    hear("r2", row.second_reader_age);
-    hear("s1", row.substitute_age);
+    record_view("r1", row.first_reader_age);
+    record_view("r2", row.second_reader_age);
+    record_view("s1", row.substitute_age);
     EXPECT_EQ(duty.must_read(entries, common_order, row.self, start), row.must_read);
 }
 
@@ -67,25 +67,25 @@
 // record arrives as soon. When the first is silent the others go by the second's view, which must
 // not look old while all is well.
 TEST(store_duty_test, only_one_proves_all_the_time_that_the_store_answers) {
-    store_duty duty;
+    store_read_policy duty;
     const auto wait_of = [&](const char* self, int ms) {
         return duty.read_wait(entries, common_order, self, start + milliseconds(ms));
     };
-    EXPECT_EQ(wait_of("r2", 0), times_of(entries).wait);
-    duty.hear("r1", entries, start);
-    duty.hear("r2", entries, start);
-    EXPECT_EQ(wait_of("r1", 600), times_of(entries).wait);
+    EXPECT_EQ(wait_of("r2", 0), read_timing_of(entries).wait);
+    duty.record_view("r1", entries, start);
+    duty.record_view("r2", entries, start);
+    EXPECT_EQ(wait_of("r1", 600), read_timing_of(entries).wait);
     EXPECT_EQ(wait_of("r2", 600), relaxed_wait);
-    EXPECT_EQ(wait_of("r2", 700), times_of(entries).wait);
-    EXPECT_EQ(wait_of("s1", 700), times_of(entries).wait);
+    EXPECT_EQ(wait_of("r2", 700), read_timing_of(entries).wait);
+    EXPECT_EQ(wait_of("s1", 700), read_timing_of(entries).wait);
 }
 
 // A telling that was on its way for long says less than an earlier one; a topic says nothing of
 // another.
 TEST(store_duty_test, the_best_word_of_a_teller_holds_for_its_topic) {
-    store_duty duty;
-    duty.hear("r1", entries, start);
-    duty.hear("r1", entries, start - seconds(5));
+    store_read_policy duty;
+    duty.record_view("r1", entries, start);
+    duty.record_view("r1", entries, start - seconds(5));
     EXPECT_FALSE(duty.must_read(entries, common_order, "s1", start));
     EXPECT_TRUE(duty.must_read(documents, common_order, "s1", start));
 }
@@ -93,7 +93,7 @@
 /// Tries in a row that the store didn't answer, and the pause after them.
 struct pause_row {
     std::string name;
-    reading_role role;
+    store_read_role role;
     int failures;
     int pause_ms;
 };
@@ -102,21 +102,22 @@
 
 INSTANTIATE_TEST_SUITE_P(
     table, store_pause,
-    testing::Values(pause_row{"reader_first", reading_role::reader, 1, 250},
-                    pause_row{"reader_later", reading_role::reader, 40, 250},
-                    pause_row{"substitute_first", reading_role::substitute, 1, 500},
-                    pause_row{"substitute_later", reading_role::substitute, 40, 500},
-                    pause_row{"other_first", reading_role::other, 1, 700},
-                    pause_row{"other_second", reading_role::other, 2, 1'400},
-                    pause_row{"other_third", reading_role::other, 3, 2'800},
-                    pause_row{"other_much_later", reading_role::other, 1'000, 2'800}),
+    testing::Values(pause_row{"reader_first", store_read_role::reader, 1, 250},
+                    pause_row{"reader_later", store_read_role::reader, 40, 250},
+                    pause_row{"substitute_first", store_read_role::standby, 1, 500},
+                    pause_row{"substitute_later", store_read_role::standby, 40, 500},
+                    pause_row{"other_first", store_read_role::other, 1, 700},
+                    pause_row{"other_second", store_read_role::other, 2, 1'400},
+                    pause_row{"other_third", store_read_role::other, 3, 2'800},
+                    pause_row{"other_much_later", store_read_role::other, 1'000, 2'800}),
     [](const auto& info) { return info.param.name; });
 
 // The store is away for long. Those in the order go on trying and tell everybody of its return; the
 // others, whose calls would be refused and paid for, try ever more rarely.
 TEST_P(store_pause, only_those_in_the_order_try_often_while_the_store_is_away) {
     const pause_row& row = GetParam();
-    EXPECT_EQ(store_duty::pause_after_failure(row.role, row.failures), milliseconds(row.pause_ms));
+    EXPECT_EQ(store_read_policy::failure_backoff(row.role, row.failures),
+              milliseconds(row.pause_ms));
 }
 
 // --- how long the store's word takes
@@ -146,7 +147,7 @@
             // They begin at different moments of their reads.
             readers_.back().next = start + milliseconds(i * 37 % 300);
         }
-        const std::size_t length = std::min(names_.size(), store_duty::order_length);
+        const std::size_t length = std::min(names_.size(), store_read_policy::order_length);
         order_.assign(names_.begin(), names_.begin() + static_cast<std::ptrdiff_t>(length));
     }
 
@@ -167,7 +168,7 @@
 
 private:
     struct reader {
-        store_duty duty;
+        store_read_policy duty;
         time_point next;
         time_point began;
         milliseconds wait{0};
@@ -198,7 +199,7 @@
             r.began = now;
             r.wait = r.follows ? r.duty.read_wait(topic_, order_, names_[i], now) : milliseconds(0);
         } else if (now >= r.next) {
-            r.next = now + look_pause;
+            r.next = now + recheck_period;
             r.follows = false;
             r.failures = 0;
         }
@@ -207,7 +208,7 @@
     /// Another peer each time.
     void ask_when_stale(std::size_t i, time_point now) {
         reader& r = readers_[i];
-        if (now < r.next_question || now - r.known_until <= times_of(topic_).longest_view) {
+        if (now < r.next_question || now - r.known_until <= read_timing_of(topic_).max_view_age) {
             return;
         }
         r.next_question = now + question_period;
@@ -236,8 +237,8 @@
         } else if (row_.manner == treatment::refused || now >= r.began + r.wait + answer_timeout) {
             ++r.failures;
             finish(i, now,
-                   store_duty::pause_after_failure(store_duty::role_of(order_, names_[i]),
-                                                   r.failures));
+                   store_read_policy::failure_backoff(store_read_policy::role_of(order_, names_[i]),
+                                                      r.failures));
         }
     }
 
@@ -257,7 +258,7 @@
             return;
         }
         for (std::size_t other = 0; other < readers_.size(); ++other) {
-            readers_[other].duty.hear(names_[i], topic_, now);
+            readers_[other].duty.record_view(names_[i], topic_, now);
             readers_[other].known_until = now;
             if (readers_[i].learned) {
                 learn(other, now + milliseconds(2));
@@ -326,8 +327,8 @@
 
 // Callers may count on two seconds for both topics, a busy processor and the sending included.
 TEST(learning_budget_test, the_sum_of_all_waits_leaves_half_a_second) {
-    EXPECT_LE(longest_learning(entries), milliseconds(1'200));
-    EXPECT_LE(longest_learning(documents), milliseconds(1'500));
+    EXPECT_LE(max_propagation_time(entries), milliseconds(1'200));
+    EXPECT_LE(max_propagation_time(documents), milliseconds(1'500));
 }
 
 // --- whose word holds
@@ -346,11 +347,11 @@
 protected:
     known_servers()
         : forwarding_(requests_, failure_domain_id("z"), {}, 1), state_(forwarding_, records_) {
-        state_.entries().caught_up(10);
+        state_.entries().set_position(10);
         for (const char* id : {"a", "b"}) {
             forwarding_.registry.learn(backend(id), start);
         }
-        state_.report_changes(fact_source::store, start);
+        state_.report_changes(update_source::store, start);
     }
 
     std::string known() const {
@@ -392,7 +393,7 @@
     for (const std::string& id : row.lapsed) {
         told.push_back({backend(id), true});
     }
-    state_.take_peer_backends(told, row.position, start);
+    state_.apply_peer_backends(told, row.position, start);
     EXPECT_EQ(known(), row.known_after);
 }
 
@@ -400,7 +401,7 @@
 TEST_F(known_servers, an_older_list_still_tells_who_leaves) {
     peer_backend leaver{backend("a"), false};
     leaver.backend.leaving = true;
-    state_.take_peer_backends(std::vector{leaver}, 3, start);
+    state_.apply_peer_backends(std::vector{leaver}, 3, start);
     EXPECT_EQ(forwarding_.registry.usable(service_id("s")).size(), 1u);
 }
 
@@ -438,15 +439,15 @@
 TEST_P(outage, only_one_of_all_puts_removals_off) {
     const outage_row& row = GetParam();
     const time_point now = start + seconds(20);
-    state_.note_view(entries, now - milliseconds(row.own_silence_ms),
-                     now - milliseconds(row.own_silence_ms));
+    state_.update_view(entries, now - milliseconds(row.own_silence_ms),
+                       now - milliseconds(row.own_silence_ms));
     const time_point told = now - milliseconds(row.told_ms_ago);
     for (time_point t = now - milliseconds(row.own_silence_ms); t < told; t += milliseconds(300)) {
-        state_.note_view(entries, t, t);
+        state_.update_view(entries, t, t);
     }
-    state_.note_view(entries, told, told);
-    state_.watch_outage(now);
-    state_.note_view(entries, now, now);
+    state_.update_view(entries, told, told);
+    state_.update_outage(now);
+    state_.update_view(entries, now, now);
     forwarding_.registry.remove(backend_id("a"), now);
     EXPECT_EQ(forwarding_.registry.has_lapsed(backend_id("a")), row.put_off);
     EXPECT_EQ(known(), row.put_off ? "ab" : "b");
@@ -457,8 +458,8 @@
 // every start.
 TEST(peer_frames_test, an_age_that_was_never_known_names_no_moment) {
     const view_age never;
-    EXPECT_EQ(moment_of(age_on_wire(never.age(start)), start), std::nullopt);
-    EXPECT_EQ(moment_of(age_on_wire(milliseconds(250)), start), start - milliseconds(250));
+    EXPECT_EQ(time_from_age(age_on_wire(never.age(start)), start), std::nullopt);
+    EXPECT_EQ(time_from_age(age_on_wire(milliseconds(250)), start), start - milliseconds(250));
 }
 
 // --- how far the entries are known
@@ -466,32 +467,32 @@
 // A telling is lost. Applying later ones would leave out the lost change for good: a server that
 // leaves would get work until it is gone. The gap shows in the positions, and all entries are asked
 // for. Whoever has read the store itself goes on with what any reader tells.
-TEST(change_follower_test, asks_for_all_after_a_gap) {
-    using verdict = change_follower::verdict;
-    change_follower follower;
-    EXPECT_EQ(follower.judge(2, 3), verdict::ask_for_all);
-    follower.caught_up(3);
-    EXPECT_EQ(follower.judge(3, 5), verdict::apply);
-    EXPECT_EQ(follower.judge(5, 5), verdict::known);
-    EXPECT_EQ(follower.judge(6, 7), verdict::ask_for_all);
+TEST(change_cursor_test, asks_for_all_after_a_gap) {
+    using change_action = change_cursor::change_action;
+    change_cursor follower;
+    EXPECT_EQ(follower.evaluate(2, 3), change_action::resync);
+    follower.set_position(3);
+    EXPECT_EQ(follower.evaluate(3, 5), change_action::apply);
+    EXPECT_EQ(follower.evaluate(5, 5), change_action::known);
+    EXPECT_EQ(follower.evaluate(6, 7), change_action::resync);
     // Another reader, whose tellings begin elsewhere.
-    EXPECT_EQ(follower.judge(4, 6), verdict::apply);
-    EXPECT_EQ(follower.judge(2, 6), verdict::known);
-    EXPECT_EQ(follower.judge(7, 8), verdict::ask_for_all);
-    follower.caught_up(9);
-    EXPECT_EQ(follower.judge(7, 8), verdict::known);
+    EXPECT_EQ(follower.evaluate(4, 6), change_action::apply);
+    EXPECT_EQ(follower.evaluate(2, 6), change_action::known);
+    EXPECT_EQ(follower.evaluate(7, 8), change_action::resync);
+    follower.set_position(9);
+    EXPECT_EQ(follower.evaluate(7, 8), change_action::known);
     EXPECT_EQ(follower.position(), 9);
 }
 
 // A reader gives up a server for whose entry it has waited; no record came with that, so the
 // position stays. Who knows no later record than the reader must give it up too; who knows later
 // ones may have seen the server register again.
-TEST(change_follower_test, a_removal_without_a_record_holds_unless_later_records_are_known) {
-    change_follower follower;
-    follower.caught_up(5);
-    EXPECT_TRUE(follower.removal_holds(5));
-    EXPECT_TRUE(follower.removal_holds(6));
-    EXPECT_FALSE(follower.removal_holds(4));
+TEST(change_cursor_test, a_removal_without_a_record_holds_unless_later_records_are_known) {
+    change_cursor follower;
+    follower.set_position(5);
+    EXPECT_TRUE(follower.accepts_removal(5));
+    EXPECT_TRUE(follower.accepts_removal(6));
+    EXPECT_FALSE(follower.accepts_removal(4));
 }
 
 } // namespace
