--- a/bamboostream/src/Forwarding/backend_contract.h
+++ b/bamboostream/src/Forwarding/backend_contract.h
@@ -18,15 +18,15 @@
 public:
     virtual ~request_codec() = default;
     /// The caller's request; nothing, with the reason, when a field is malformed.
-    virtual std::optional<forward_request> read_request(const http_request& request,
-                                                        std::string& why) const = 0;
+    virtual std::optional<forward_request> parse_request(const http_request& request,
+                                                         std::string& why) const = 0;
     /// The bytes of the request as the backend server gets it.
-    virtual std::string write_request(const http_request& request,
-                                      const forward_send& send) const = 0;
-    virtual answer_facts read_answer(const http_channel& answer,
-                                     const forward_request& request) const = 0;
+    virtual std::string serialize_request(const http_request& request,
+                                          const attempt_parameters& send) const = 0;
+    virtual response_info parse_response(const http_channel& answer,
+                                         const forward_request& request) const = 0;
     /// The fields of the answer that go on to the caller.
-    virtual std::vector<http_field> answer_fields(const http_channel& answer) const = 0;
+    virtual std::vector<http_field> response_fields(const http_channel& answer) const = 0;
 };
 
 /// What came of moving a generation.
--- a/bamboostream/src/Forwarding/forward_request.h
+++ b/bamboostream/src/Forwarding/forward_request.h
@@ -36,7 +36,7 @@
 };
 
 /// What is set anew in each send of a request to a backend server.
-struct forward_send {
+struct attempt_parameters {
     backend_id expected;
     std::string address;
     /// Nothing when requests carry no keys.
@@ -47,7 +47,7 @@
 };
 
 /// What the head of a backend server's answer says.
-struct answer_facts {
+struct response_info {
     int status = 0;
     /// The server says that it has not run the request and won't.
     bool not_run = false;
@@ -55,7 +55,7 @@
     bool wrong_server = false;
     /// The answer belongs to this request and is the server's own. A success without this is the
     /// late answer of another request, or noise.
-    bool genuine = false;
+    bool authentic = false;
 };
 
 } // namespace bamboostream
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -138,14 +138,14 @@
         give_back(to);
         co_return pass_over(to);
     }
-    forward_send send;
+    attempt_parameters send;
     send.expected = to.backend.id;
     send.address = to.backend.address;
     send.workspace = workspace_;
     send.time_left = std::chrono::duration_cast<milliseconds>(deadline_ - now);
     send.resume_after = splitter_.last_id();
     send.copy = to.copy;
-    channel_->send(state_.codec.write_request(exchange_.request(), send),
+    channel_->send(state_.codec.serialize_request(exchange_.request(), send),
                    exchange_.request().method == "HEAD");
     if (!channel_->any_sent()) {
         state_.channels.drop(to.backend.address);
@@ -167,7 +167,7 @@
 }
 
 asio::awaitable<std::optional<attempt_end>> forwarded_call::take_answer(const destination& to) {
-    const answer_facts facts = state_.codec.read_answer(*channel_, request_);
+    const response_info facts = state_.codec.parse_response(*channel_, request_);
     if (facts.wrong_server) {
         state_.registry.mark_leaving(to.backend.id);
         if (state_.on_registry_change) {
@@ -181,7 +181,7 @@
         give_back(to);
         co_return fail(to, attempt_end::not_run, facts.wrong_server ? "another server" : "refused");
     }
-    if (!facts.genuine) {
+    if (!facts.authentic) {
         channel_->close();
         co_return fail(to, attempt_end::lost, "not the answer to this request");
     }
@@ -197,8 +197,8 @@
 }
 
 asio::awaitable<std::optional<attempt_end>> forwarded_call::take_body(const destination& to,
-                                                                      answer_facts facts) {
-    kept_answer answer{facts.status, state_.codec.answer_fields(*channel_), {}};
+                                                                      response_info facts) {
+    kept_answer answer{facts.status, state_.codec.response_fields(*channel_), {}};
     while (answer.body.size() <= answer_limit && co_await channel_->read(answer.body)) {
     }
     if (!channel_->complete()) {
@@ -273,7 +273,7 @@
         begun_ = true;
         first_event_ = now;
         note_reading();
-        const std::vector<http_field> fields = state_.codec.answer_fields(*channel_);
+        const std::vector<http_field> fields = state_.codec.response_fields(*channel_);
         if (!co_await exchange_.begin_stream(status, {}, fields)) {
             co_return false;
         }
@@ -282,7 +282,7 @@
 }
 
 asio::awaitable<std::optional<attempt_end>> forwarded_call::relay(const destination& to,
-                                                                  answer_facts facts) {
+                                                                  response_info facts) {
     if (!stream_) {
         stream_ = std::make_shared<active_stream>(exchange_.executor(), request_.id);
         stream_->movable = is_movable();
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -64,7 +64,7 @@
 
 std::optional<forwarded_call::rejection> forwarded_call::prepare() {
     std::string why;
-    auto request = state_.codec.read_request(exchange_.request(), why);
+    auto request = state_.codec.parse_request(exchange_.request(), why);
     if (!request) {
         log_event(events::bad_request, "reason={}", why);
         return rejection{400, "malformed_request", std::nullopt};
--- a/bamboostream/src/Forwarding/forwarded_call.h
+++ b/bamboostream/src/Forwarding/forwarded_call.h
@@ -72,9 +72,9 @@
     time_point attempt_limit() const;
     boost::asio::awaitable<std::optional<attempt_end>> take_answer(const destination& to);
     boost::asio::awaitable<std::optional<attempt_end>> take_body(const destination& to,
-                                                                 answer_facts facts);
+                                                                 response_info facts);
     boost::asio::awaitable<std::optional<attempt_end>> relay(const destination& to,
-                                                             answer_facts facts);
+                                                             response_info facts);
     boost::asio::awaitable<bool> pass_on(std::string_view events, int status);
     boost::asio::awaitable<bool> await_move();
     /// Whether the engine that the stream is told to go on at may still be sent to.
--- a/test/platform/translation_test.cpp
+++ b/test/platform/translation_test.cpp
@@ -251,17 +251,18 @@
 TEST(deployment_state_test, never_goes_back_to_an_older_configuration) {
     const record_translation codec;
     class no_requests final : public request_codec {
-        std::optional<forward_request> read_request(const http_request&,
-                                                    std::string&) const override {
+        std::optional<forward_request> parse_request(const http_request&,
+                                                     std::string&) const override {
             return std::nullopt;
         }
-        std::string write_request(const http_request&, const forward_send&) const override {
+        std::string serialize_request(const http_request&,
+                                      const attempt_parameters&) const override {
             return {};
         }
-        answer_facts read_answer(const http_channel&, const forward_request&) const override {
+        response_info parse_response(const http_channel&, const forward_request&) const override {
             return {};
         }
-        std::vector<http_field> answer_fields(const http_channel&) const override { return {}; }
+        std::vector<http_field> response_fields(const http_channel&) const override { return {}; }
     };
     const no_requests requests;
     forwarding_state forwarding(requests, failure_domain_id("z"), {}, 1);
--- a/tools/prove.sh
+++ b/tools/prove.sh
@@ -60,7 +60,7 @@
 prove id_sticky_leaving $s/Membership/backend_registry.cpp 'heard.leaving = heard.leaving || has_left(backend);' '' 'backend_registry_test'
 prove lapsed_entries_wait $s/Membership/backend_registry.cpp 'return store_away_ || (store_returned_ && now < *store_returned_ + return_grace);' 'return now == time_point{};' 'entry_removal'
 prove newest_version_wins $s/Gateway/deployment_state.cpp 'if (table->configuration().version <= version_) {' 'if (table->configuration().version < 0) {' 'deployment_state_test|read_beside'
-prove genuine_answers $s/Forwarding/forwarded_attempt.cpp 'if (!facts.genuine) {' 'if (!facts.genuine && false) {' 'misbehaving_backend'
+prove genuine_answers $s/Forwarding/forwarded_attempt.cpp 'if (!facts.authentic) {' 'if (!facts.authentic && false) {' 'misbehaving_backend'
 prove fate_unknown_is_said $s/Forwarding/attempt_policy.cpp 'may_have_run = may_have_run || end != attempt_end::not_run;' '' 'attempt_decision|misbehaving_backend'
 prove event_gap $s/Forwarding/event_splitter.cpp 'if (id && last_id_ && *id != *last_id_ + 1) {' 'if (false) {' 'broken_stream|event_split'
 prove one_copy_a_target $s/Evacuation/evacuation_service.cpp 'if (!receiving_.contains(backend->id)) {' 'if (true) {' 'evacuation_test'
