--- a/bamboostream/src/Forwarding/active_streams.cpp
+++ b/bamboostream/src/Forwarding/active_streams.cpp
@@ -5,18 +5,18 @@
 
 namespace bamboostream {
 
-std::int64_t likely_output_tokens(const forward_request& request) {
-    return request.most_output_tokens > 0
-               ? std::min(request.expected_output_tokens, request.most_output_tokens)
+std::int64_t estimate_output_tokens(const forward_request& request) {
+    return request.max_output_tokens > 0
+               ? std::min(request.expected_output_tokens, request.max_output_tokens)
                : request.expected_output_tokens;
 }
 
-std::int64_t expected_tokens_left(const active_stream& stream) {
+std::int64_t estimate_remaining_tokens(const active_stream& stream) {
     const std::int64_t most =
-        std::max<std::int64_t>(0, stream.most_output_tokens - stream.output_tokens);
+        std::max<std::int64_t>(0, stream.max_output_tokens - stream.output_tokens);
     const std::int64_t expected =
         std::max(stream.expected_output_tokens - stream.output_tokens, stream.output_tokens / 2);
-    return stream.most_output_tokens > 0 ? std::min(most, expected) : expected;
+    return stream.max_output_tokens > 0 ? std::min(most, expected) : expected;
 }
 
 void active_streams::add(std::shared_ptr<active_stream> stream) {
@@ -36,8 +36,8 @@
             continue;
         }
         stream->move_expected = true;
-        out.push_back(
-            {id, stream->prompt_tokens + stream->output_tokens, expected_tokens_left(*stream)});
+        out.push_back({id, stream->prompt_tokens + stream->output_tokens,
+                       estimate_remaining_tokens(*stream)});
     }
     return out;
 }
--- a/bamboostream/src/Forwarding/active_streams.h
+++ b/bamboostream/src/Forwarding/active_streams.h
@@ -46,7 +46,7 @@
     /// What the caller expects; zero when it didn't say.
     std::int64_t expected_output_tokens = 0;
     /// What the generation may put out at most; zero when unknown.
-    std::int64_t most_output_tokens = 0;
+    std::int64_t max_output_tokens = 0;
     std::int64_t output_tokens = 0;
     /// Somebody has asked for it in order to move it.
     bool move_expected = false;
@@ -59,12 +59,12 @@
 /// Tokens that a request is expected to put out: its caller's estimate, or the most that the
 /// request allows where that is less. Some estimates are fifteen times over it, and a generation
 /// that counts with such a one finds no engine with room when its own leaves.
-std::int64_t likely_output_tokens(const forward_request& request);
+std::int64_t estimate_output_tokens(const forward_request& request);
 
 /// Tokens that a generation is expected to put out yet. Callers' estimates are right at the median
 /// only, and half of all generations outlive theirs: then as much is expected again as a half of
 /// what has come, since lengths spread over a wide range and who has lived long lives on.
-std::int64_t expected_tokens_left(const active_stream& stream);
+std::int64_t estimate_remaining_tokens(const active_stream& stream);
 
 /// The streams of this instance by request id.
 class active_streams {
--- a/bamboostream/src/Forwarding/attempt_policy.cpp
+++ b/bamboostream/src/Forwarding/attempt_policy.cpp
@@ -19,8 +19,8 @@
     may_have_run = may_have_run || end != attempt_end::not_run;
 }
 
-bool may_try_again(repeat_rule repeats, int most_attempts, const attempt_history& history,
-                   attempt_end last) {
+bool may_retry(repeat_rule repeats, int most_attempts, const attempt_history& history,
+               attempt_end last) {
     if (history.sends >= most_attempts || history.failed_connects >= most_failed_connects) {
         return false;
     }
@@ -28,14 +28,14 @@
     return repeats != repeat_rule::once || (nothing_ran && !history.may_have_run);
 }
 
-final_answer choose_final_answer(const attempt_history& history, attempt_end last) {
+final_response choose_final_response(const attempt_history& history, attempt_end last) {
     if (last == attempt_end::failed) {
-        return final_answer::backend_failure;
+        return final_response::backend_failure;
     }
     if (!history.may_have_run) {
-        return final_answer::not_run;
+        return final_response::not_run;
     }
-    return last == attempt_end::silent ? final_answer::timed_out : final_answer::unknown;
+    return last == attempt_end::silent ? final_response::timed_out : final_response::unknown;
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Forwarding/attempt_policy.h
+++ b/bamboostream/src/Forwarding/attempt_policy.h
@@ -36,7 +36,7 @@
 };
 
 /// The final answer when no further send is made.
-enum class final_answer : std::uint8_t {
+enum class final_response : std::uint8_t {
     /// 503 with a time to come back: has not run and never will.
     not_run,
     /// 502: the fate is unknown.
@@ -56,10 +56,10 @@
 /// Whether a request whose last send ended like this may be sent to another backend server. A
 /// request that must run once is sent again only while nothing of it has left: `most_attempts`
 /// counts sends, whatever became of them.
-bool may_try_again(repeat_rule repeats, int most_attempts, const attempt_history& history,
-                   attempt_end last);
+bool may_retry(repeat_rule repeats, int most_attempts, const attempt_history& history,
+               attempt_end last);
 
 /// What the caller is told when the last send ended like this and no other follows.
-final_answer choose_final_answer(const attempt_history& history, attempt_end last);
+final_response choose_final_response(const attempt_history& history, attempt_end last);
 
 } // namespace bamboostream
--- a/bamboostream/src/Forwarding/forward_request.h
+++ b/bamboostream/src/Forwarding/forward_request.h
@@ -18,10 +18,10 @@
     /// The caller's key; empty when it sent none.
     std::string key;
     /// How long the caller waits; nothing when it didn't say.
-    std::optional<milliseconds> patience;
+    std::optional<milliseconds> caller_timeout;
     std::int64_t prompt_tokens = 0;
     /// The most the generation may put out; zero when the caller didn't say.
-    std::int64_t most_output_tokens = 0;
+    std::int64_t max_output_tokens = 0;
     /// What the caller expects, the most when it expects nothing.
     std::int64_t expected_output_tokens = 0;
     /// The caller has this event already and wants the next.
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -97,7 +97,7 @@
 time_point forwarded_call::attempt_limit() const {
     attempt_history after = history_;
     after.note(attempt_end::silent);
-    if (!may_try_again(route_->repeats, route_->most_attempts, after, attempt_end::silent)) {
+    if (!may_retry(route_->repeats, route_->most_attempts, after, attempt_end::silent)) {
         return deadline_;
     }
     return std::min(deadline_, monotonic_now() + objectives_a_try * route_->objective);
@@ -288,7 +288,7 @@
         stream_->movable = is_movable();
         stream_->prompt_tokens = request_.prompt_tokens;
         stream_->expected_output_tokens = request_.expected_output_tokens;
-        stream_->most_output_tokens = request_.most_output_tokens;
+        stream_->max_output_tokens = request_.max_output_tokens;
         state_.streams.add(stream_);
     }
     stream_->backend = to.backend.id;
@@ -314,7 +314,7 @@
             co_return fail(to, attempt_end::lost, "the caller left");
         }
         stream_->output_tokens = static_cast<std::int64_t>(splitter_.events()) * tokens_per_event;
-        const std::int64_t output = stream_->output_tokens + expected_tokens_left(*stream_);
+        const std::int64_t output = stream_->output_tokens + estimate_remaining_tokens(*stream_);
         update_work({1, request_.prompt_tokens + output, 0});
         if (may_go_on) {
             channel_->expire_at(std::min(deadline_, monotonic_now() + longest_pause));
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -70,7 +70,7 @@
         return rejection{400, "malformed_request", std::nullopt};
     }
     request_ = std::move(*request);
-    request_.expected_output_tokens = likely_output_tokens(request_);
+    request_.expected_output_tokens = estimate_output_tokens(request_);
     if (!routes_) {
         return rejection{503, "not_ready", refusal_cause::nothing_known};
     }
@@ -86,8 +86,8 @@
     if (service_ == nullptr) {
         return rejection{503, "no_service", refusal_cause::nothing_known};
     }
-    const milliseconds patience = request_.patience.value_or(route_->timeout);
-    deadline_ = arrival_ + std::min(patience, route_->timeout);
+    const milliseconds caller_timeout = request_.caller_timeout.value_or(route_->timeout);
+    deadline_ = arrival_ + std::min(caller_timeout, route_->timeout);
     // What may last beyond the end of this process would be cut there, after a backend server has
     // worked on it: a stream that was taken 5.7 s after the signal on a kept connection was closed
     // without an answer.
@@ -135,7 +135,7 @@
 }
 
 duration forwarded_call::return_time(refusal_cause cause) const {
-    refused_request about{cause, route_ ? route_->objective : duration{}, request_.patience,
+    refused_request about{cause, route_ ? route_->objective : duration{}, request_.caller_timeout,
                           overload_};
     if (cause == refusal_cause::quarantined) {
         about.quarantine = state_.quarantine.held_for(*digest_, monotonic_now());
@@ -343,26 +343,26 @@
     if (withdrawn_ || is_held()) {
         return false;
     }
-    if (now >= deadline_ || !may_try_again(route_->repeats, route_->most_attempts, history_, end)) {
+    if (now >= deadline_ || !may_retry(route_->repeats, route_->most_attempts, history_, end)) {
         return false;
     }
     return history_.sends == 0 || state_.budget.try_spend(service_->id, state_.live_instances, now);
 }
 
 asio::awaitable<void> forwarded_call::finish(attempt_end end) {
-    const final_answer answer = choose_final_answer(history_, end);
+    const final_response answer = choose_final_response(history_, end);
     forward_result result = forward_result::broken_off;
     if (begun_) {
         exchange_.abort();
-    } else if (answer == final_answer::backend_failure && failure_) {
+    } else if (answer == final_response::backend_failure && failure_) {
         result = forward_result::backend_failed;
         co_await exchange_.respond(failure_->status, {}, std::move(failure_->body),
                                    failure_->fields);
-    } else if (answer == final_answer::not_run) {
+    } else if (answer == final_response::not_run) {
         result = forward_result::not_run;
         const http_field come_back = come_back_field(return_time(cause_of_not_run()));
         co_await exchange_.respond_json(503, error_body("not_run"), {&come_back, 1});
-    } else if (answer == final_answer::timed_out) {
+    } else if (answer == final_response::timed_out) {
         result = forward_result::timed_out;
         co_await exchange_.respond_json(504, error_body("timed_out"));
     } else {
--- a/bamboostream/src/Forwarding/forwarded_call.h
+++ b/bamboostream/src/Forwarding/forwarded_call.h
@@ -18,7 +18,7 @@
 /// server, passes the answer on, and sends it elsewhere while that is safe.
 ///
 /// Example: `forwarded_call call(state, exchange, monotonic_now()); co_await call.run();`
-/// See also `may_try_again` and `choose_final_answer`, which decide; this class carries it out.
+/// See also `may_retry` and `choose_final_response`, which decide; this class carries it out.
 class forwarded_call final : public open_call {
 public:
     forwarded_call(forwarding_state& state, http_exchange& exchange, time_point arrival);
--- a/test/platform/stream_decisions_test.cpp
+++ b/test/platform/stream_decisions_test.cpp
@@ -19,7 +19,7 @@
     int most_attempts;
     std::vector<attempt_end> ends;
     bool again;
-    final_answer answer;
+    final_response answer;
 };
 
 class attempt_decision : public testing::TestWithParam<attempt_row> {};
@@ -29,31 +29,33 @@
 INSTANTIATE_TEST_SUITE_P(
     table, attempt_decision,
     testing::Values(
-        attempt_row{"unsent", repeat_rule::once, 1, {not_sent}, true, final_answer::not_run},
+        attempt_row{"unsent", repeat_rule::once, 1, {not_sent}, true, final_response::not_run},
         attempt_row{"unsent_five_times", repeat_rule::once, 1, std::vector(5, not_sent), true,
-                    final_answer::not_run},
+                    final_response::not_run},
         attempt_row{"unsent_six_times", repeat_rule::once, 1, std::vector(6, not_sent), false,
-                    final_answer::not_run},
-        attempt_row{"refused", repeat_rule::once, 1, {not_run}, false, final_answer::not_run},
+                    final_response::not_run},
+        attempt_row{"refused", repeat_rule::once, 1, {not_run}, false, final_response::not_run},
         attempt_row{
-            "refused_with_room", repeat_rule::once, 2, {not_run}, true, final_answer::not_run},
-        attempt_row{"lost", repeat_rule::once, 3, {lost}, false, final_answer::unknown},
-        attempt_row{"silent", repeat_rule::once, 3, {silent}, false, final_answer::timed_out},
-        attempt_row{"failed", repeat_rule::once, 3, {failed}, false, final_answer::backend_failure},
-        attempt_row{"safe_lost", repeat_rule::repeatable, 2, {lost}, true, final_answer::unknown},
+            "refused_with_room", repeat_rule::once, 2, {not_run}, true, final_response::not_run},
+        attempt_row{"lost", repeat_rule::once, 3, {lost}, false, final_response::unknown},
+        attempt_row{"silent", repeat_rule::once, 3, {silent}, false, final_response::timed_out},
+        attempt_row{
+            "failed", repeat_rule::once, 3, {failed}, false, final_response::backend_failure},
+        attempt_row{"safe_lost", repeat_rule::repeatable, 2, {lost}, true, final_response::unknown},
         attempt_row{"safe_lost_then_refused",
                     repeat_rule::repeatable,
                     2,
                     {lost, not_run},
                     false,
-                    final_answer::unknown},
+                    final_response::unknown},
         attempt_row{"safe_lost_then_unsent",
                     repeat_rule::repeatable,
                     2,
                     {lost, not_sent},
                     true,
-                    final_answer::unknown},
-        attempt_row{"stream_lost", repeat_rule::resumable, 2, {lost}, true, final_answer::unknown}),
+                    final_response::unknown},
+        attempt_row{
+            "stream_lost", repeat_rule::resumable, 2, {lost}, true, final_response::unknown}),
     [](const auto& info) { return info.param.name; });
 
 TEST_P(attempt_decision, never_says_not_run_of_what_may_have_run) {
@@ -62,9 +64,9 @@
         history.note(end);
     }
     const attempt_end last = GetParam().ends.back();
-    EXPECT_EQ(may_try_again(GetParam().repeats, GetParam().most_attempts, history, last),
+    EXPECT_EQ(may_retry(GetParam().repeats, GetParam().most_attempts, history, last),
               GetParam().again);
-    EXPECT_EQ(choose_final_answer(history, last), GetParam().answer);
+    EXPECT_EQ(choose_final_response(history, last), GetParam().answer);
 }
 
 // --- events
@@ -137,11 +139,11 @@
     boost::asio::io_context context;
     active_stream stream(context.get_executor(), "g");
     stream.expected_output_tokens = 400;
-    stream.most_output_tokens = 2'000;
+    stream.max_output_tokens = 2'000;
     for (const auto& [output, left] : std::vector<std::pair<int, int>>{
              {0, 400}, {100, 300}, {390, 195}, {1'000, 500}, {1'900, 100}, {2'000, 0}}) {
         stream.output_tokens = output;
-        EXPECT_EQ(expected_tokens_left(stream), left) << output;
+        EXPECT_EQ(estimate_remaining_tokens(stream), left) << output;
     }
 }
 
@@ -157,7 +159,7 @@
         stream->movable = true;
         stream->prompt_tokens = 3'000;
         stream->expected_output_tokens = 400;
-        stream->most_output_tokens = 2'000;
+        stream->max_output_tokens = 2'000;
         stream->output_tokens = output;
         streams.add(stream);
     };
@@ -173,11 +175,11 @@
 TEST(move_plan_test, an_estimate_counts_for_no_more_than_the_request_allows) {
     forward_request request;
     request.expected_output_tokens = 34'926;
-    EXPECT_EQ(likely_output_tokens(request), 34'926);
-    request.most_output_tokens = 2'204;
-    EXPECT_EQ(likely_output_tokens(request), 2'204);
+    EXPECT_EQ(estimate_output_tokens(request), 34'926);
+    request.max_output_tokens = 2'204;
+    EXPECT_EQ(estimate_output_tokens(request), 2'204);
     request.expected_output_tokens = 700;
-    EXPECT_EQ(likely_output_tokens(request), 700);
+    EXPECT_EQ(estimate_output_tokens(request), 700);
 }
 
 struct target_row {
