--- a/bamboostream/src/Evacuation/evacuation_service.cpp
+++ b/bamboostream/src/Evacuation/evacuation_service.cpp
@@ -64,8 +64,8 @@
 }
 
 asio::awaitable<void> evacuation_service::ask(registered_backend backend) {
-    const auto leaves = co_await mover_.leaves(backend.address, ask_timeout);
-    if (leaves.value_or(false)) {
+    const auto is_leaving = co_await mover_.is_leaving(backend.address, ask_timeout);
+    if (is_leaving.value_or(false)) {
         state_.registry.mark_leaving(backend.id);
         if (state_.on_registry_change) {
             state_.on_registry_change();
--- a/bamboostream/src/Forwarding/backend_contract.h
+++ b/bamboostream/src/Forwarding/backend_contract.h
@@ -57,8 +57,8 @@
 public:
     virtual ~generation_mover() = default;
     /// Whether the engine says that it leaves; nothing when it doesn't answer.
-    virtual boost::asio::awaitable<std::optional<bool>> leaves(std::string engine,
-                                                               milliseconds timeout) = 0;
+    virtual boost::asio::awaitable<std::optional<bool>> is_leaving(std::string engine,
+                                                                   milliseconds timeout) = 0;
     /// Copies the memory of a generation from the engine at `source` to the one at `target`; a
     /// second call copies what has come since. `last` stops the generation first.
     virtual boost::asio::awaitable<std::optional<move_result>>
--- a/test/platform/evacuation_test.cpp
+++ b/test/platform/evacuation_test.cpp
@@ -23,7 +23,7 @@
 /// Answers moves as told; each takes a while, as copies do.
 class scripted_mover final : public generation_mover {
 public:
-    asio::awaitable<std::optional<bool>> leaves(std::string engine, milliseconds) override {
+    asio::awaitable<std::optional<bool>> is_leaving(std::string engine, milliseconds) override {
         ++questions_;
         co_return engine == leaving_;
     }
