--- a/bamboostream/src/Evacuation/evacuation_service.cpp
+++ b/bamboostream/src/Evacuation/evacuation_service.cpp
@@ -130,7 +130,7 @@
     }
     const time_point now = monotonic_now();
     for (const registered_backend* backend :
-         servers_with_room(state_, service, own_role(state_, service), now)) {
+         servers_with_capacity(state_, service, own_role(state_, service), now)) {
         if (!receiving_.contains(backend->id)) {
             out.push_back({*backend, state_.loads.total(backend->id, now),
                            rule->engine->memory_tokens, rule->engine->slots});
@@ -212,7 +212,7 @@
               candidate.instance.empty() ? "here" : candidate.instance,
               candidate.generation.memory_tokens);
     if (const registered_backend* target = state_.registry.find(notice.target)) {
-        note_send(state_, *target, monotonic_now());
+        record_send(state_, *target, monotonic_now());
     }
     if (candidate.instance.empty()) {
         state_.streams.notify(candidate.generation.id, notice, monotonic_now());
--- a/bamboostream/src/Forwarding/engine_choice.cpp
+++ b/bamboostream/src/Forwarding/engine_choice.cpp
@@ -8,9 +8,9 @@
     return state.scheduler != nullptr ? state.scheduler->role(service) : sender_role::owner;
 }
 
-std::vector<const registered_backend*> servers_with_room(forwarding_state& state,
-                                                         const service_id& service,
-                                                         sender_role role, time_point now) {
+std::vector<const registered_backend*> servers_with_capacity(forwarding_state& state,
+                                                             const service_id& service,
+                                                             sender_role role, time_point now) {
     auto servers = state.registry.usable(service);
     const service_rule* rule = state.routes ? state.routes->find_service(service) : nullptr;
     if (rule != nullptr) {
@@ -22,7 +22,7 @@
     return servers;
 }
 
-void note_send(forwarding_state& state, const registered_backend& server, time_point now) {
+void record_send(forwarding_state& state, const registered_backend& server, time_point now) {
     if (now < server.slow_until) {
         state.cold_starts.note(server.id, now);
     }
@@ -38,15 +38,15 @@
                                   request.objective};
     const auto verdict_at = [&](const registered_backend& engine) {
         return judge_admission(state.admission, asked, state.loads.total(engine.id, now),
-                               state.reading.tokens_a_ms(request.service, work_key(engine.id)));
+                               state.prefill.tokens_a_ms(request.service, work_key(engine.id)));
     };
-    const auto engines = servers_with_room(state, request.service, role, now);
+    const auto engines = servers_with_capacity(state, request.service, role, now);
     std::vector<const registered_backend*> open = engines;
     std::erase_if(open, [&](const registered_backend* engine) {
         return verdict_at(*engine) != admission_verdict::admit;
     });
     if (const auto* chosen = state.picker.pick(open, state.loads, wanted, now)) {
-        note_send(state, *chosen, now);
+        record_send(state, *chosen, now);
         return {*chosen, admission_verdict::admit, state.loads.total(chosen->id, now), {}};
     }
     // Of the engines that have no room, the least loaded says why.
--- a/bamboostream/src/Forwarding/engine_choice.h
+++ b/bamboostream/src/Forwarding/engine_choice.h
@@ -46,11 +46,11 @@
 
 /// Servers of a service to which an instance in that role may send one more request now: all that
 /// take work but for cold ones which have had their part of what they bear.
-std::vector<const registered_backend*> servers_with_room(forwarding_state& state,
-                                                         const service_id& service,
-                                                         sender_role role, time_point now);
+std::vector<const registered_backend*> servers_with_capacity(forwarding_state& state,
+                                                             const service_id& service,
+                                                             sender_role role, time_point now);
 /// Counts a request against what the server bears while it is cold.
-void note_send(forwarding_state& state, const registered_backend& server, time_point now);
+void record_send(forwarding_state& state, const registered_backend& server, time_point now);
 
 /// Chooses by what this instance knows.
 engine_choice choose_engine(forwarding_state& state, const engine_request& request,
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -91,7 +91,7 @@
     // What may last beyond the end of this process would be cut there, after a backend server has
     // worked on it: a stream that was taken 5.7 s after the signal on a kept connection was closed
     // without an answer.
-    if (state_.leaving && deadline_ > state_.ends_at) {
+    if (state_.leaving && deadline_ > state_.shutdown_deadline) {
         return rejection{503, "leaving", refusal_cause::leaving};
     }
     if (route_->repeats == repeat_rule::resumable) {
@@ -107,7 +107,7 @@
     std::optional<rejection> refused = prepare();
     const time_point limit = arrival_ + longest_wait_for_configuration;
     while (refused && refused->by_table &&
-           state_.told_configuration > routes_->configuration().version) {
+           state_.announced_configuration > routes_->configuration().version) {
         if (monotonic_now() >= limit) {
             co_return rejection{503, "configuration_late", refusal_cause::crowded};
         }
@@ -212,10 +212,10 @@
     wanted.server_memory_tokens = service_->engine ? service_->engine->memory_tokens : 0;
     const time_point now = monotonic_now();
     const sender_role role = service_->engine ? own_role(state_, service_->id) : sender_role::peer;
-    const auto servers = servers_with_room(state_, service_->id, role, now);
+    const auto servers = servers_with_capacity(state_, service_->id, role, now);
     const registered_backend* chosen = state_.picker.pick(servers, state_.loads, wanted, now);
     if (chosen != nullptr) {
-        note_send(state_, *chosen, now);
+        record_send(state_, *chosen, now);
     }
     co_return chosen ? std::optional(destination{*chosen, {}, {}}) : std::nullopt;
 }
--- a/bamboostream/src/Forwarding/forwarding_state.h
+++ b/bamboostream/src/Forwarding/forwarding_state.h
@@ -55,7 +55,7 @@
     /// Generations whose engine another instance chose, and questions to such that it didn't answer
     /// in time.
     std::uint64_t placed_by_owner = 0;
-    std::uint64_t owners_silent = 0;
+    std::uint64_t owner_timeouts = 0;
 
     void count(forward_result result) { ++results[static_cast<std::size_t>(result)]; }
 };
@@ -72,14 +72,14 @@
     /// Null until the first configuration has been read.
     std::shared_ptr<const route_table> routes;
     /// The newest configuration that other instances have told of; zero before the first.
-    std::int64_t told_configuration = 0;
+    std::int64_t announced_configuration = 0;
     backend_registry registry;
     /// How old what is known of the entries of backend servers and of the configuration is.
     view_age entries_view;
     view_age documents_view;
     load_book loads;
     /// How fast engines read prompts, by what this instance has seen and has been told.
-    reading_rates reading;
+    reading_rates prefill;
     window_budget budget;
     admission_rules admission;
     backend_picker picker;
@@ -103,7 +103,7 @@
     /// A graceful shutdown has begun: connections close after their answer.
     bool leaving = false;
     /// When the process ends after that.
-    time_point ends_at = time_point::max();
+    time_point shutdown_deadline = time_point::max();
     /// Called when a generation is sent to an engine, begins to put out or ends.
     std::function<void()> on_generation_change;
     /// Called after a change of the registry that forwarding itself has found.
--- a/bamboostream/src/Gateway/deployment_state.h
+++ b/bamboostream/src/Gateway/deployment_state.h
@@ -55,7 +55,9 @@
     void take_configuration(std::string text, std::string_view origin,
                             document_listener judged = {});
     /// The newest configuration that is known to be in force somewhere.
-    void note_told_configuration(std::int64_t version) { forwarding_.told_configuration = version; }
+    void note_told_configuration(std::int64_t version) {
+        forwarding_.announced_configuration = version;
+    }
     /// Takes records of a topic; `all` says that they are the newest of every key.
     void take_records(record_topic topic, std::span<const keyed_record> records, bool all,
                       time_point now);
--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -174,7 +174,7 @@
             forwarding.picker.forget(change.backend.id);
         }
         if (change.event == registry_event::gone || change.event == registry_event::restarted) {
-            forwarding.reading.forget(work_key(change.backend.id));
+            forwarding.prefill.forget(work_key(change.backend.id));
         }
     });
     forwarding.on_generation_change = [this] { peers->note_load(); };
@@ -314,7 +314,7 @@
 
 asio::awaitable<void> gateway::parts::handle_metrics(http_exchange& exchange) const {
     const gateway_figures figures{state.version(),
-                                  forwarding.told_configuration,
+                                  forwarding.announced_configuration,
                                   state.rejected_documents(),
                                   spread->shelf().encoded(),
                                   spread->fetch().pieces(),
@@ -366,7 +366,7 @@
     const time_point began = monotonic_now();
     const time_point lapsed = began + longest_kept * settings.directory_validity;
     const time_point end = began + settings.grace - grace_margin;
-    forwarding.ends_at = end;
+    forwarding.shutdown_deadline = end;
     while (monotonic_now() < end && (forwarding.counters.open > 0 || monotonic_now() < lapsed)) {
         co_await pause_for(drain_check);
     }
--- a/bamboostream/src/Gateway/gateway_metrics.cpp
+++ b/bamboostream/src/Gateway/gateway_metrics.cpp
@@ -73,7 +73,7 @@
     append(out, "counter", "backend_servers_ended_total", state.server_checks.ended_servers());
     append(out, "counter", "moved_generations_total", c.moved);
     append(out, "counter", "placed_by_owner_total", c.placed_by_owner);
-    append(out, "counter", "owners_silent_total", c.owners_silent);
+    append(out, "counter", "owners_silent_total", c.owner_timeouts);
     append(out, "counter", "dropped_log_lines_total", dropped_log_lines());
     append(out, "gauge", "quarantined_requests", state.quarantine.decisions().held());
     append(out, "gauge", "quarantine_evidence", state.quarantine.decisions().size());
--- a/bamboostream/src/Gateway/pool_owner.cpp
+++ b/bamboostream/src/Gateway/pool_owner.cpp
@@ -54,7 +54,7 @@
         if (engine != nullptr) {
             const std::size_t group = forwarding_.registry.usable(engine->service).size();
             forwarding_.picker.note(engine->id, seen.succeeded, seen.failed, group, now);
-            forwarding_.reading.note(
+            forwarding_.prefill.note(
                 engine->service, seen.backend,
                 {static_cast<double>(seen.tokens_read), static_cast<double>(seen.reading_ms)});
         }
@@ -83,7 +83,7 @@
             const time_point now = monotonic_now();
             std::erase_if(silent_until_, [now](const auto& item) { return now >= item.second; });
             silent_until_[owner] = now + passed_over_for;
-            ++forwarding_.counters.owners_silent;
+            ++forwarding_.counters.owner_timeouts;
             continue;
         }
         const wire::AdmitReplyT& answer = *reply->message.AsAdmitReply();
--- a/test/platform/pool_owner_test.cpp
+++ b/test/platform/pool_owner_test.cpp
@@ -121,7 +121,7 @@
     EXPECT_TRUE(ask(asker(), request()));
     EXPECT_LT(monotonic_now() - before, milliseconds(50));
     EXPECT_EQ(asked(deputy()), 2);
-    EXPECT_EQ(asker().forwarding.counters.owners_silent, 1u);
+    EXPECT_EQ(asker().forwarding.counters.owner_timeouts, 1u);
 }
 
 // Nobody answers: the instance chooses by itself, after two short waits at most.
@@ -236,7 +236,7 @@
         owner().owner->hear(to_wire({}, asker().forwarding.engine_outcomes.take()),
                             asker().address());
     }
-    const reading_rates& rates = owner().forwarding.reading;
+    const reading_rates& rates = owner().forwarding.prefill;
     EXPECT_LT(rates.tokens_a_ms(service_id("s"), work_key(slow)), 2.0);
 }
 
--- a/test/platform/refusal_test.cpp
+++ b/test/platform/refusal_test.cpp
@@ -91,7 +91,7 @@
         std::erase_if(old.routes, [](const route_rule& route) { return route.name == "once"; });
     }
     f.state().routes = std::make_shared<const route_table>(old);
-    f.state().told_configuration = old.version + 1;
+    f.state().announced_configuration = old.version + 1;
     const time_point asked = monotonic_now();
     const auto view = f.ask("once", "a1");
     f.run_for(milliseconds(40));
@@ -149,7 +149,7 @@
         "engines");
     scripted_backend& calls = f.add("i-2", answering("ok"));
     f.state().leaving = true;
-    f.state().ends_at = monotonic_now() + milliseconds(700);
+    f.state().shutdown_deadline = monotonic_now() + milliseconds(700);
     const auto view = f.ask(GetParam().route, "a1", GetParam().fields);
     f.finish(view);
     EXPECT_EQ(view->status(), GetParam().served ? 200 : 503);
