--- a/bamboostream/src/Entry/completion_handler.cpp
+++ b/bamboostream/src/Entry/completion_handler.cpp
@@ -149,7 +149,7 @@
             });
             co_return true;
         }
-        if (monotonic_now() > start_by_ || sink().gone()) {
+        if (monotonic_now() > start_by_ || sink().caller_gone()) {
             end.result = outcome::unknown;
             end.code = "still_waiting";
             end.message = "another request with this key is still waiting for its place";
--- a/bamboostream/src/Entry/resume_handler.cpp
+++ b/bamboostream/src/Entry/resume_handler.cpp
@@ -14,7 +14,7 @@
     case handle_error::expired:
         return 410;
     case handle_error::forged:
-    case handle_error::foreign:
+    case handle_error::wrong_workspace:
     case handle_error::unknown_key:
         return 403;
     case handle_error::none:
--- a/bamboostream/src/Entry/sse_writer.h
+++ b/bamboostream/src/Entry/sse_writer.h
@@ -46,7 +46,7 @@
 
     boost::asio::awaitable<bool> token(const issued_handle& handle, std::uint64_t number,
                                        std::string_view text) override;
-    bool gone() const override { return exchange_.caller_gone(); }
+    bool caller_gone() const override { return exchange_.caller_gone(); }
 
     bool head_sent() const { return head_sent_; }
     /// The tokens so far are void; a new generation follows.
@@ -80,7 +80,7 @@
     explicit answer_buffer(time_point accepted) { timing_.accepted = accepted; }
     boost::asio::awaitable<bool> token(const issued_handle& handle, std::uint64_t number,
                                        std::string_view text) override;
-    bool gone() const override { return overflow_; }
+    bool caller_gone() const override { return overflow_; }
     const std::string& text() const { return text_; }
     const stream_timing& timing() const { return timing_; }
 
--- a/bamboostream/src/Streams/relay.cpp
+++ b/bamboostream/src/Streams/relay.cpp
@@ -193,7 +193,7 @@
         if (reader->overflown(longest_event)) {
             broken = true;
         }
-        if (out.gone()) {
+        if (out.caller_gone()) {
             result.end = relay_end::caller_gone;
             break;
         }
--- a/bamboostream/src/Streams/resume_handle.cpp
+++ b/bamboostream/src/Streams/resume_handle.cpp
@@ -49,8 +49,8 @@
     return issued_handle(std::move(content), std::move(text));
 }
 
-std::optional<resume_handle> handle_signer::open(std::string_view text, const workspace_id& owner,
-                                                 wall_time now, handle_failure& why) const {
+std::optional<resume_handle> handle_signer::verify(std::string_view text, const workspace_id& owner,
+                                                   wall_time now, handle_failure& why) const {
     const std::size_t dot = text.find('.');
     if (dot == std::string_view::npos || text.size() > longest_handle) {
         why.set(handle_error::malformed, "not a resume handle");
@@ -81,7 +81,7 @@
         return std::nullopt;
     }
     if (handle.workspace != owner) {
-        why.set(handle_error::foreign, "the handle belongs to another workspace");
+        why.set(handle_error::wrong_workspace, "the handle belongs to another workspace");
         return std::nullopt;
     }
     return handle;
@@ -90,7 +90,7 @@
 std::optional<issued_handle> handle_signer::reissue(std::string_view text,
                                                     const workspace_id& owner, wall_time now,
                                                     handle_failure& why) const {
-    auto content = open(text, owner, now, why);
+    auto content = verify(text, owner, now, why);
     if (!content) {
         return std::nullopt;
     }
--- a/bamboostream/src/Streams/resume_handle.h
+++ b/bamboostream/src/Streams/resume_handle.h
@@ -12,7 +12,14 @@
 namespace bamboostream {
 
 /// Why a resume handle was not accepted.
-enum class handle_error : std::uint8_t { none, malformed, unknown_key, forged, expired, foreign };
+enum class handle_error : std::uint8_t {
+    none,
+    malformed,
+    unknown_key,
+    forged,
+    expired,
+    wrong_workspace
+};
 using handle_failure = failure<handle_error>;
 
 /// What a caller needs to take its stream up again at any instance.
@@ -51,7 +58,8 @@
 /// Signs handles with the newest active key and verifies them against all keys, so that a rotation
 /// of keys cuts no stream.
 ///
-/// Example: `auto h = signer.issue(content); auto back = signer.open(h->text(), "acme", now, why);`
+/// Example: `auto h = signer.issue(content); auto back = signer.verify(h->text(), "acme", now,
+/// why);`
 class handle_signer {
 public:
     explicit handle_signer(std::vector<handle_key> keys);
@@ -59,8 +67,8 @@
     /// Nothing when there is no active key.
     std::optional<issued_handle> issue(resume_handle content) const;
     /// Verifies signature (in constant time), expiry and owner.
-    std::optional<resume_handle> open(std::string_view text, const workspace_id& owner,
-                                      wall_time now, handle_failure& why) const;
+    std::optional<resume_handle> verify(std::string_view text, const workspace_id& owner,
+                                        wall_time now, handle_failure& why) const;
     /// A handle that was verified, in issued form, to go on emitting under it.
     std::optional<issued_handle> reissue(std::string_view text, const workspace_id& owner,
                                          wall_time now, handle_failure& why) const;
--- a/bamboostream/src/Streams/token_stream.h
+++ b/bamboostream/src/Streams/token_stream.h
@@ -33,7 +33,7 @@
     virtual boost::asio::awaitable<bool> token(const issued_handle& handle, std::uint64_t number,
                                                std::string_view text) = 0;
     /// The caller can't be reached any more.
-    virtual bool gone() const = 0;
+    virtual bool caller_gone() const = 0;
 };
 
 /// Emits the tokens of one generation into a sink. It can only be made from an issued handle.
@@ -48,7 +48,7 @@
     boost::asio::awaitable<bool> token(std::uint64_t number, std::string_view text) {
         return sink_.token(handle_, number, text);
     }
-    bool gone() const { return sink_.gone(); }
+    bool caller_gone() const { return sink_.caller_gone(); }
 
 private:
     token_sink& sink_;
--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -483,7 +483,7 @@
                 const auto handle = signer.issue(
                     {backend_id("10.0.0.1:80"), generation_id(std::string(32, 'a')), owner, 10});
                 handle_failure why;
-                signer.open(handle->text(), owner, 1, why);
+                signer.verify(handle->text(), owner, 1, why);
             }
         }));
     }
--- a/test/fuzz/input_fuzz.cpp
+++ b/test/fuzz/input_fuzz.cpp
@@ -23,7 +23,7 @@
 void fuzz_handle(std::string_view bytes) {
     static const handle_signer signer({{"a", "a-secret-for-fuzzing", true}});
     handle_failure why;
-    if (signer.open(bytes, workspace_id("w"), 0, why)) {
+    if (signer.verify(bytes, workspace_id("w"), 0, why)) {
         std::abort(); // No bytes made without the secret may be accepted.
     }
 }
--- a/test/streams_test.cpp
+++ b/test/streams_test.cpp
@@ -24,12 +24,12 @@
     const auto issued = signer().issue(content());
     ASSERT_TRUE(issued.has_value());
     handle_failure why;
-    const auto opened = signer().open(issued->text(), owner, now, why);
+    const auto opened = signer().verify(issued->text(), owner, now, why);
     ASSERT_TRUE(opened.has_value()) << why.text;
     EXPECT_EQ(opened->generation.text(), "abc");
     // Signed before the rotation, still accepted after it.
     const handle_signer before({{"k1", "old-secret-old-secret", true}});
-    EXPECT_TRUE(signer().open(before.issue(content())->text(), owner, now, why).has_value());
+    EXPECT_TRUE(signer().verify(before.issue(content())->text(), owner, now, why).has_value());
     EXPECT_FALSE(handle_signer({}).issue(content()).has_value());
 }
 
@@ -78,14 +78,14 @@
          other.workspace = workspace_id("traders");
          return signer().issue(other)->text();
      },
-     handle_error::foreign},
+     handle_error::wrong_workspace},
 };
 
 class bad_handle_test : public testing::TestWithParam<bad_handle> {};
 
 TEST_P(bad_handle_test, is_refused_with_its_reason) {
     handle_failure why;
-    EXPECT_FALSE(signer().open(GetParam().make(), owner, now, why).has_value());
+    EXPECT_FALSE(signer().verify(GetParam().make(), owner, now, why).has_value());
     EXPECT_EQ(why.code, GetParam().code) << why.text;
 }
 
@@ -95,7 +95,7 @@
 TEST(resume_handle_property_test, any_text_is_refused) {
     EXPECT_TRUE(rc::check([] {
         handle_failure why;
-        RC_ASSERT(!signer().open(*rc::gen::arbitrary<std::string>(), owner, now, why));
+        RC_ASSERT(!signer().verify(*rc::gen::arbitrary<std::string>(), owner, now, why));
     }));
 }
 
