--- a/bamboostream/src/Control/placement_service.cpp
+++ b/bamboostream/src/Control/placement_service.cpp
@@ -90,8 +90,8 @@
     co_return held;
 }
 
-asio::awaitable<std::vector<placed_engine>> placement_service::true_state(std::string pool) {
-    std::vector<placed_engine> out;
+asio::awaitable<std::vector<engine_state>> placement_service::true_state(std::string pool) {
+    std::vector<engine_state> out;
     for (const backend_facts& backend : membership_.backends().group(pool)) {
         if (backend.kind != backend_kind::engine || backend.state == backend_state::down) {
             continue;
@@ -108,9 +108,10 @@
 }
 
 asio::awaitable<void> placement_service::serve_pool(std::string pool, pool_settings wanted) {
-    const std::vector<placed_engine> engines = co_await true_state(pool);
-    const load_pace pace;
-    const auto planned = next_order(wanted, engines, pace, pools_[pool].last_load, monotonic_now());
+    const std::vector<engine_state> engines = co_await true_state(pool);
+    const load_rate_limit pace;
+    const auto planned =
+        plan_next_order(wanted, engines, pace, pools_[pool].last_load, monotonic_now());
     if (!planned) {
         co_return;
     }
--- a/bamboostream/src/Control/placement_service.h
+++ b/bamboostream/src/Control/placement_service.h
@@ -49,7 +49,7 @@
     boost::asio::awaitable<void> round_loop();
     boost::asio::awaitable<void> serve_pool(std::string pool, pool_settings wanted);
     boost::asio::awaitable<bool> hold_lease(std::string pool);
-    boost::asio::awaitable<std::vector<placed_engine>> true_state(std::string pool);
+    boost::asio::awaitable<std::vector<engine_state>> true_state(std::string pool);
     boost::asio::awaitable<void> send_order(std::string pool, planned_order planned);
 
     boost::asio::io_context& context_;
--- a/bamboostream/src/Placement/placement_plan.cpp
+++ b/bamboostream/src/Placement/placement_plan.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-bool serves_wanted(const placed_engine& engine, const pool_settings& wanted) {
+bool serves_wanted(const engine_state& engine, const pool_settings& wanted) {
     return engine.model == wanted.model &&
            (wanted.version.empty() || engine.version == wanted.version);
 }
 
-std::optional<std::string> missing_adapter(const placed_engine& engine,
+std::optional<std::string> missing_adapter(const engine_state& engine,
                                            const pool_settings& wanted) {
     for (const std::string& adapter : wanted.adapters) {
         if (std::find(engine.adapters.begin(), engine.adapters.end(), adapter) ==
@@ -23,10 +23,10 @@
 }
 
 /// The emptiest engine that serves something else, or null.
-const placed_engine* emptiest_outdated(const pool_settings& wanted,
-                                       std::span<const placed_engine> engines) {
-    const placed_engine* best = nullptr;
-    for (const placed_engine& engine : engines) {
+const engine_state* emptiest_outdated(const pool_settings& wanted,
+                                      std::span<const engine_state> engines) {
+    const engine_state* best = nullptr;
+    for (const engine_state& engine : engines) {
         const bool outdated = engine.usable && !engine.loading && !serves_wanted(engine, wanted);
         if (outdated && (best == nullptr || engine.running < best->running)) {
             best = &engine;
@@ -37,11 +37,11 @@
 
 } // namespace
 
-std::optional<planned_order> next_order(const pool_settings& wanted,
-                                        std::span<const placed_engine> engines,
-                                        const load_pace& pace, time_point last_load,
-                                        time_point now) {
-    for (const placed_engine& engine : engines) {
+std::optional<planned_order> plan_next_order(const pool_settings& wanted,
+                                             std::span<const engine_state> engines,
+                                             const load_rate_limit& pace, time_point last_load,
+                                             time_point now) {
+    for (const engine_state& engine : engines) {
         const auto adapter = missing_adapter(engine, wanted);
         if (engine.usable && !engine.loading && serves_wanted(engine, wanted) && adapter) {
             placement_order order;
@@ -56,7 +56,7 @@
         std::count_if(engines.begin(), engines.end(), [&](const auto& e) {
             return e.usable && !e.loading && e.model == wanted.model;
         }));
-    const placed_engine* next = emptiest_outdated(wanted, engines);
+    const engine_state* next = emptiest_outdated(wanted, engines);
     if (next == nullptr || loading >= pace.most_loading ||
         (last_load != time_point{} && now - last_load < pace.between_loads)) {
         return std::nullopt;
--- a/bamboostream/src/Placement/placement_plan.h
+++ b/bamboostream/src/Placement/placement_plan.h
@@ -12,7 +12,7 @@
 namespace bamboostream {
 
 /// An engine's true state, for planning.
-struct placed_engine {
+struct engine_state {
     backend_id id;
     std::string model;
     std::string version;
@@ -30,7 +30,7 @@
 };
 
 /// Paces orders that load from the weight store.
-struct load_pace {
+struct load_rate_limit {
     /// Least time between two loads that this holder begins.
     milliseconds between_loads{1'000};
     /// Engines of a pool that may load at the same time.
@@ -41,9 +41,9 @@
 /// when all is as wanted, or when one more load would take the pool below the engines that must
 /// stay in service or outrun the weight store. Orders state the wanted end, so sending one twice
 /// does no harm. Called again and again, it converges whatever happened in between.
-std::optional<planned_order> next_order(const pool_settings& wanted,
-                                        std::span<const placed_engine> engines,
-                                        const load_pace& pace, time_point last_load,
-                                        time_point now);
+std::optional<planned_order> plan_next_order(const pool_settings& wanted,
+                                             std::span<const engine_state> engines,
+                                             const load_rate_limit& pace, time_point last_load,
+                                             time_point now);
 
 } // namespace bamboostream
--- a/test/placement_test.cpp
+++ b/test/placement_test.cpp
@@ -49,8 +49,8 @@
     EXPECT_TRUE(table.held_by("p", b));
 }
 
-placed_engine engine(const std::string& id, const std::string& version, std::uint32_t running = 0) {
-    placed_engine e;
+engine_state engine(const std::string& id, const std::string& version, std::uint32_t running = 0) {
+    engine_state e;
     e.id = backend_id(id);
     e.model = "m";
     e.version = version;
@@ -69,14 +69,14 @@
 struct plan_case {
     const char* name;
     std::uint32_t least_serving;
-    std::vector<placed_engine> engines;
+    std::vector<engine_state> engines;
     time_point last_load;
     /// Engine that gets the order, empty for none.
     const char* expected;
     friend void PrintTo(const plan_case& c, std::ostream* out) { *out << c.name; }
 };
 
-placed_engine loading(placed_engine e) {
+engine_state loading(engine_state e) {
     e.loading = true;
     return e;
 }
@@ -85,7 +85,7 @@
 
 TEST_P(plan_test, next_order_keeps_capacity_and_pace) {
     const plan_case& c = GetParam();
-    const auto planned = next_order(wanted(c.least_serving), c.engines, {}, c.last_load, now);
+    const auto planned = plan_next_order(wanted(c.least_serving), c.engines, {}, c.last_load, now);
     EXPECT_EQ(planned ? planned->engine.text() : "", c.expected);
 }
 
