--- a/bamboostream/src/Control/claim_keeper.cpp
+++ b/bamboostream/src/Control/claim_keeper.cpp
@@ -61,7 +61,7 @@
         }
         const wall_time keep_from =
             wall_now() - (times_.window + 2 * times_.clock_tolerance).count();
-        table_.forget_before(keep_from);
+        table_.prune_before(keep_from);
         std::erase_if(own_, [keep_from](const auto& item) { return item.second.at < keep_from; });
         std::erase_if(last_claim_,
                       [this](const auto& item) { return !own_.contains(item.second); });
@@ -160,8 +160,8 @@
     }
     while (true) {
         const call_view known = table_.view(workspace, key);
-        const bool reused = known.standing != call_standing::unclaimed &&
-                            !known.call_digest.empty() && known.call_digest != call_digest;
+        const bool reused = known.state != call_state::unclaimed && !known.call_digest.empty() &&
+                            known.call_digest != call_digest;
         if (reused) {
             claim_result result;
             result.what = claim_result::kind::key_reused;
@@ -169,7 +169,7 @@
             co_return result;
         }
         std::optional<claim_result> settled;
-        if (known.standing == call_standing::unclaimed) {
+        if (known.state == call_state::unclaimed) {
             settled = co_await compete(workspace, key, call_digest, deadline);
         } else {
             settled = co_await learn_from_claimant(workspace, key, deadline);
@@ -202,15 +202,15 @@
     ++claims_;
     enqueue(std::move(entry));
     while (true) {
-        const claim_verdict verdict = table_.judge(workspace, key, claim);
-        if (verdict == claim_verdict::won && monotonic_now() < deadline) {
+        const claim_status verdict = table_.check_claim(workspace, key, claim);
+        if (verdict == claim_status::won && monotonic_now() < deadline) {
             own_[claim].state = own_state::dispatched;
             claim_result result;
             result.what = claim_result::kind::dispatch;
             result.claim = claim;
             co_return result;
         }
-        if (verdict == claim_verdict::lost) {
+        if (verdict == claim_status::lost) {
             abandon(workspace, key, claim);
             co_return std::nullopt;
         }
@@ -240,7 +240,7 @@
     const member_table& members = membership_.members();
     bool all_known = members.self().id.start_stamp < made &&
                      wall_now() - made < gone_remembered.count() &&
-                     table_.view(workspace, key).standing == call_standing::unclaimed;
+                     table_.view(workspace, key).state == call_state::unclaimed;
     for (const std::string& address : members.all_addresses()) {
         const auto peer = members.find(address);
         if (!all_known || !peer || peer->id.start_stamp > made) {
@@ -271,10 +271,10 @@
     result.what = claim_result::kind::unknown;
     while (true) {
         const call_view view = table_.view(workspace, key);
-        if (view.standing == call_standing::unclaimed) {
+        if (view.state == call_state::unclaimed) {
             co_return std::nullopt;
         }
-        if (view.standing == call_standing::decided) {
+        if (view.state == call_state::decided) {
             result.what = claim_result::kind::decided;
             result.status = view.status;
             result.body = view.body;
--- a/bamboostream/src/Ledger/claim_table.cpp
+++ b/bamboostream/src/Ledger/claim_table.cpp
@@ -128,7 +128,7 @@
     if (standing == nullptr) {
         return {};
     }
-    return {standing->decided ? call_standing::decided : call_standing::claimed,
+    return {standing->decided ? call_state::decided : call_state::claimed,
             standing->name,
             standing->claimant,
             standing->call_digest,
@@ -136,24 +136,24 @@
             standing->body};
 }
 
-claim_verdict claim_table::judge(std::string_view workspace, std::string_view key,
-                                 std::string_view claim_name) const {
+claim_status claim_table::check_claim(std::string_view workspace, std::string_view key,
+                                      std::string_view claim_name) const {
     const auto found = calls_.find(call_name(workspace, key));
     if (found == calls_.end()) {
-        return claim_verdict::unread;
+        return claim_status::unread;
     }
     const auto own = std::find_if(found->second.claims.begin(), found->second.claims.end(),
                                   [&](const claim& known) { return known.name == claim_name; });
     if (own == found->second.claims.end()) {
-        return claim_verdict::unread;
+        return claim_status::unread;
     }
     if (own->is_void) {
-        return claim_verdict::is_void;
+        return claim_status::is_void;
     }
-    return first_standing(found->second) == &*own ? claim_verdict::won : claim_verdict::lost;
+    return first_standing(found->second) == &*own ? claim_status::won : claim_status::lost;
 }
 
-void claim_table::forget_before(wall_time horizon) {
+void claim_table::prune_before(wall_time horizon) {
     while (!by_age_.empty() && by_age_.front().at < horizon) {
         const auto found = calls_.find(by_age_.front().name);
         if (found != calls_.end() && found->second.touched < horizon) {
--- a/bamboostream/src/Ledger/claim_table.h
+++ b/bamboostream/src/Ledger/claim_table.h
@@ -39,7 +39,7 @@
 std::vector<ledger_entry> decode_ledger_record(std::string_view data);
 
 /// Where a call stands according to the records read so far.
-enum class call_standing : std::uint8_t {
+enum class call_state : std::uint8_t {
     /// No claim that stands: a new one may be made.
     unclaimed,
     /// The first claim that stands has no outcome yet.
@@ -50,7 +50,7 @@
 
 /// What is known of a call.
 struct call_view {
-    call_standing standing = call_standing::unclaimed;
+    call_state state = call_state::unclaimed;
     std::string claim;
     instance_id claimant;
     std::string call_digest;
@@ -59,7 +59,7 @@
 };
 
 /// What the claimant of a claim may do.
-enum class claim_verdict : std::uint8_t {
+enum class claim_status : std::uint8_t {
     /// The claim has not been read back.
     unread,
     /// It is the first that stands: its claimant may dispatch, once.
@@ -84,10 +84,10 @@
     /// readable record can't be judged any more.
     void note_first_offset(std::int64_t first_offset, wall_time oldest_readable);
     call_view view(std::string_view workspace, std::string_view key) const;
-    claim_verdict judge(std::string_view workspace, std::string_view key,
-                        std::string_view claim) const;
+    claim_status check_claim(std::string_view workspace, std::string_view key,
+                             std::string_view claim) const;
     /// Forgets calls last touched before `horizon`.
-    void forget_before(wall_time horizon);
+    void prune_before(wall_time horizon);
     /// Keys with an earlier time can't be judged: their records may be gone.
     wall_time horizon() const { return horizon_; }
     std::int64_t next_offset() const { return next_offset_; }
--- a/test/ledger_test.cpp
+++ b/test/ledger_test.cpp
@@ -61,7 +61,7 @@
             return false;
         }
         c.read_all(w);
-        if (c.table.view("w", "k").standing != call_standing::unclaimed) {
+        if (c.table.view("w", "k").state != call_state::unclaimed) {
             return false;
         }
         w.append(entry(ledger_kind::claim, c.name));
@@ -86,7 +86,7 @@
             return false;
         }
         c.read_all(w);
-        if (c.table.judge("w", "k", c.name) != claim_verdict::won) {
+        if (c.table.check_claim("w", "k", c.name) != claim_status::won) {
             return false;
         }
         ++w.dispatches;
@@ -176,10 +176,10 @@
         table.apply(record);
     }
     const call_view view = table.view("w", "k");
-    EXPECT_EQ(view.standing, call_standing::decided);
+    EXPECT_EQ(view.state, call_state::decided);
     EXPECT_EQ(view.body, "answer of a");
-    EXPECT_EQ(table.judge("w", "k", "b"), claim_verdict::lost);
-    EXPECT_EQ(table.view("other", "k").standing, call_standing::unclaimed);
+    EXPECT_EQ(table.check_claim("w", "k", "b"), claim_status::lost);
+    EXPECT_EQ(table.view("other", "k").state, call_state::unclaimed);
 }
 
 TEST(claim_table_test, void_before_its_late_claim_keeps_it_void) {
@@ -191,15 +191,15 @@
     for (const log_record& record : w.log) {
         table.apply(record);
     }
-    EXPECT_EQ(table.judge("w", "k", "a"), claim_verdict::is_void);
-    EXPECT_EQ(table.judge("w", "k", "b"), claim_verdict::won);
+    EXPECT_EQ(table.check_claim("w", "k", "a"), claim_status::is_void);
+    EXPECT_EQ(table.check_claim("w", "k", "b"), claim_status::won);
 }
 
 TEST(claim_table_test, hole_in_the_log_moves_the_horizon) {
     claim_table table;
     table.note_first_offset(10, 5'000);
     EXPECT_EQ(table.horizon(), 5'000);
-    table.forget_before(7'000);
+    table.prune_before(7'000);
     EXPECT_EQ(table.horizon(), 7'000);
 }
 
--- a/tools/prove.sh
+++ b/tools/prove.sh
@@ -41,7 +41,7 @@
 prove foreign_generation $s/Streams/token_sequencer.h 'if (generation != generation_) {' 'if (false) {' 'engine_sends_foreign|exhaustive'
 prove silence_watch $s/Streams/relay.cpp 'if (!watch->ended && watch->stream != nullptr && silent) {' 'if (false) {' 'open_link_freezes'
 prove link_replacement $s/Streams/relay.cpp 'if (refusals >= timing_.refusals_until_lost) {' 'if (true) {' 'link_stalled|answers_lost'
-prove claim_before_dispatch $s/Ledger/claim_table.cpp 'return first_standing(found->second) == &*own ? claim_verdict::won : claim_verdict::lost;' 'return claim_verdict::won;' 'interleaving|same_key_at_all'
+prove claim_before_dispatch $s/Ledger/claim_table.cpp 'return first_standing(found->second) == &*own ? claim_status::won : claim_status::lost;' 'return claim_status::won;' 'interleaving|same_key_at_all'
 prove late_void $s/Ledger/claim_table.cpp 'fresh.is_void = entry.kind == ledger_kind::void_claim;' 'fresh.is_void = false;' 'interleaving|void_before'
 prove honest_not_run $s/Control/claim_keeper.cpp 'result.what = claim_result::kind::unknown;
     result.reason = reason + "; an earlier' 'result.what = claim_result::kind::not_run;
