--- a/bamboostream/src/Forwarding/attempt_policy.cpp
+++ b/bamboostream/src/Forwarding/attempt_policy.cpp
@@ -10,7 +10,7 @@
     return names[static_cast<std::size_t>(end)];
 }
 
-void attempt_history::note(attempt_end end) {
+void attempt_history::record(attempt_end end) {
     if (end == attempt_end::not_sent) {
         ++failed_connects;
         return;
--- a/bamboostream/src/Forwarding/attempt_policy.h
+++ b/bamboostream/src/Forwarding/attempt_policy.h
@@ -32,7 +32,7 @@
     /// Some send may have run. Once set, no answer may say "not run".
     bool may_have_run = false;
 
-    void note(attempt_end end);
+    void record(attempt_end end);
 };
 
 /// The final answer when no further send is made.
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -40,7 +40,7 @@
 } // namespace
 
 attempt_end forwarded_call::fail(const destination& to, attempt_end end, std::string_view reason) {
-    history_.note(end);
+    history_.record(end);
     const bool counts =
         end == attempt_end::not_sent || end == attempt_end::lost || end == attempt_end::silent;
     const bool ended_here = left_ || withdrawn_;
@@ -58,7 +58,7 @@
 }
 
 attempt_end forwarded_call::pass_over(const destination& to) {
-    history_.note(attempt_end::not_sent);
+    history_.record(attempt_end::not_sent);
     log_event(
         events::attempt_failed,
         "request={} route={} backend={} address={} end=not_sent reason=takes no work sends={}",
@@ -96,7 +96,7 @@
 
 time_point forwarded_call::attempt_limit() const {
     attempt_history after = history_;
-    after.note(attempt_end::silent);
+    after.record(attempt_end::silent);
     if (!may_retry(route_->repeats, route_->most_attempts, after, attempt_end::silent)) {
         return deadline_;
     }
--- a/test/platform/stream_decisions_test.cpp
+++ b/test/platform/stream_decisions_test.cpp
@@ -61,7 +61,7 @@
 TEST_P(attempt_decision, never_says_not_run_of_what_may_have_run) {
     attempt_history history;
     for (const attempt_end end : GetParam().ends) {
-        history.note(end);
+        history.record(end);
     }
     const attempt_end last = GetParam().ends.back();
     EXPECT_EQ(may_retry(GetParam().repeats, GetParam().most_attempts, history, last),
