--- a/bamboostream/src/Forwarding/active_streams.cpp
+++ b/bamboostream/src/Forwarding/active_streams.cpp
@@ -12,11 +12,11 @@
 }
 
 std::int64_t estimate_remaining_tokens(const active_stream& stream) {
-    const std::int64_t most =
+    const std::int64_t max_remaining =
         std::max<std::int64_t>(0, stream.max_output_tokens - stream.output_tokens);
-    const std::int64_t expected =
+    const std::int64_t estimated =
         std::max(stream.expected_output_tokens - stream.output_tokens, stream.output_tokens / 2);
-    return stream.max_output_tokens > 0 ? std::min(most, expected) : expected;
+    return stream.max_output_tokens > 0 ? std::min(max_remaining, estimated) : estimated;
 }
 
 void active_streams::add(std::shared_ptr<active_stream> stream) {
@@ -48,8 +48,8 @@
         return false;
     }
     found->second->moved = std::move(notice);
-    found->second->noticed_at = now;
-    found->second->noticed.cancel();
+    found->second->notified_at = now;
+    found->second->move_signal.cancel();
     return true;
 }
 
--- a/bamboostream/src/Forwarding/active_streams.h
+++ b/bamboostream/src/Forwarding/active_streams.h
@@ -15,65 +15,69 @@
 
 namespace bamboostream {
 
-/// Where a generation goes on after it was moved.
+/// Tells where a generation continues after it was moved to another engine.
 struct move_notice {
     backend_id target;
     std::string target_address;
     generation_copy copy;
 };
 
-/// A running generation that can be saved only by moving it.
+/// A running generation that must not be run again, so that it survives the loss of its engine only
+/// by being moved.
 struct movable_generation {
     std::string id;
-    /// Cache memory that it holds, in tokens.
+    /// Cache memory in use, in tokens.
     std::int64_t memory_tokens = 0;
-    /// Tokens that it is expected to put out yet.
+    /// Estimate of the output tokens still to come.
     std::int64_t tokens_left = 0;
 
     bool operator==(const movable_generation&) const = default;
 };
 
-/// A stream that this instance passes on.
+/// State of one event stream that this instance relays. Used on the thread of its
+/// `forwarding_state`.
 struct active_stream {
     active_stream(const boost::asio::any_io_executor& executor, std::string request)
-        : id(std::move(request)), noticed(executor) {}
+        : id(std::move(request)), move_signal(executor) {}
 
     std::string id;
     backend_id backend;
-    /// Only moving saves it: it must not run again.
+    /// The generation must not run again, but its engine can move it to another one.
     bool movable = false;
     std::int64_t prompt_tokens = 0;
-    /// What the caller expects; zero when it didn't say.
+    /// The caller's estimate; zero if it gave none.
     std::int64_t expected_output_tokens = 0;
-    /// What the generation may put out at most; zero when unknown.
+    /// Upper limit of the output; zero if unknown.
     std::int64_t max_output_tokens = 0;
     std::int64_t output_tokens = 0;
-    /// Somebody has asked for it in order to move it.
+    /// `claim_movable` has returned this stream, so a move may follow.
     bool move_expected = false;
     std::optional<move_notice> moved;
-    time_point noticed_at{};
-    /// Cancelled when `moved` is set.
-    boost::asio::steady_timer noticed;
+    time_point notified_at{};
+    /// Cancelled when `moved` is set, to wake a coroutine that waits for the move.
+    boost::asio::steady_timer move_signal;
 };
 
-/// Tokens that a request is expected to put out: its caller's estimate, or the most that the
-/// request allows where that is less. Some estimates are fifteen times over it, and a generation
-/// that counts with such a one finds no engine with room when its own leaves.
+/// Estimated output tokens of a request: the caller's estimate, capped by the request's own limit.
+/// Some estimates exceed the limit fifteenfold; a generation accounted with such an estimate finds
+/// no engine with enough free memory when its own engine shuts down.
 std::int64_t estimate_output_tokens(const forward_request& request);
 
-/// Tokens that a generation is expected to put out yet. Callers' estimates are right at the median
-/// only, and half of all generations outlive theirs: then as much is expected again as a half of
-/// what has come, since lengths spread over a wide range and who has lived long lives on.
+/// Estimated output tokens still to come. Callers' estimates are accurate only at the median, and
+/// half of all generations exceed theirs. The estimate therefore never falls below half of the
+/// tokens already produced, because lengths have a wide distribution and a long generation is
+/// likely to continue.
 std::int64_t estimate_remaining_tokens(const active_stream& stream);
 
-/// The streams of this instance by request id.
+/// The event streams that this instance relays, by request id. Not thread-safe.
 class active_streams {
 public:
     void add(std::shared_ptr<active_stream> stream);
     void remove(const std::string& id);
-    /// The generations at one engine that have begun and can be moved. Marks them as about to move.
+    /// Returns the generations at one engine that have produced output and can be moved, and marks
+    /// them as about to move.
     std::vector<movable_generation> claim_movable(const backend_id& backend);
-    /// Tells a stream where it goes on; false when it has ended meanwhile.
+    /// Tells a stream where its generation continues. Returns false if the stream has ended.
     bool notify(const std::string& id, move_notice notice, time_point now);
     std::size_t size() const { return streams_.size(); }
 
--- a/bamboostream/src/Forwarding/attempt_policy.cpp
+++ b/bamboostream/src/Forwarding/attempt_policy.cpp
@@ -21,11 +21,11 @@
 
 bool may_retry(repeat_rule repeats, int most_attempts, const attempt_history& history,
                attempt_end last) {
-    if (history.sends >= most_attempts || history.failed_connects >= most_failed_connects) {
+    if (history.sends >= most_attempts || history.failed_connects >= max_failed_connects) {
         return false;
     }
-    const bool nothing_ran = last == attempt_end::not_sent || last == attempt_end::not_run;
-    return repeats != repeat_rule::once || (nothing_ran && !history.may_have_run);
+    const bool not_executed = last == attempt_end::not_sent || last == attempt_end::not_run;
+    return repeats != repeat_rule::once || (not_executed && !history.may_have_run);
 }
 
 final_response choose_final_response(const attempt_history& history, attempt_end last) {
--- a/bamboostream/src/Forwarding/attempt_policy.h
+++ b/bamboostream/src/Forwarding/attempt_policy.h
@@ -7,59 +7,59 @@
 
 namespace bamboostream {
 
-/// How one send of a request to a backend server ended without an answer for the caller.
+/// How one attempt at a backend server ended when it yielded no response for the caller.
 enum class attempt_end : std::uint8_t {
-    /// No byte has left.
+    /// No byte of the request was sent.
     not_sent,
-    /// The backend server says that it has not run the request.
+    /// The backend server reported that it did not execute the request.
     not_run,
-    /// Sent, and no usable answer came: it may have run.
+    /// Sent, but no usable response arrived: the request may have been executed.
     lost,
-    /// Sent, and no answer came in the time given.
+    /// Sent, but no response arrived within the time limit: the request may have been executed.
     silent,
-    /// The backend server answered with a failure of its own, which counts as run.
+    /// The backend server responded with a failure, which counts as executed.
     failed,
 };
 
-/// The name of an end in logs.
+/// Name of an attempt's end in log lines.
 std::string_view to_string(attempt_end end);
 
-/// What has happened to one request so far.
+/// The attempts made for one request so far.
 struct attempt_history {
-    /// Sends of which a byte may have left.
+    /// Attempts in which at least one byte may have been sent.
     int sends = 0;
     int failed_connects = 0;
-    /// Some send may have run. Once set, no answer may say "not run".
+    /// Some attempt may have been executed. Once set, no response may claim "not run".
     bool may_have_run = false;
 
     void record(attempt_end end);
 };
 
-/// The final answer when no further send is made.
+/// The final response when no further attempt is made.
 enum class final_response : std::uint8_t {
-    /// 503 with a time to come back: has not run and never will.
+    /// 503 with Retry-After: the request was not executed and will not be.
     not_run,
-    /// 502: the fate is unknown.
+    /// 502: it is unknown whether the request was executed.
     unknown,
-    /// 504: no answer in time, the fate is unknown.
+    /// 504: no response in time; it is unknown whether the request was executed.
     timed_out,
     /// The backend server's own failure, unchanged.
     backend_failure,
 };
 
-/// Connections that fail one after another before a request is refused. A refused connection costs
-/// two milliseconds and a request nothing, and when a failure domain is lost, or engines go while
-/// the store is away, several dead servers beside each other are common; after six the fault is
-/// here.
-inline constexpr int most_failed_connects = 6;
+/// Failed connection attempts after which a request is refused. A refused connection takes two
+/// milliseconds and can't execute the request. Several dead servers in a row are common when a
+/// failure domain is lost or when engines end while the store is unavailable; after six, the fault
+/// is likely on this instance's side.
+inline constexpr int max_failed_connects = 6;
 
-/// Whether a request whose last send ended like this may be sent to another backend server. A
-/// request that must run once is sent again only while nothing of it has left: `most_attempts`
-/// counts sends, whatever became of them.
+/// Whether a request whose last attempt ended with `last` may be sent to another backend server. A
+/// request that must run at most once is sent again only if no earlier attempt may have executed
+/// it. `most_attempts` limits the sends of any request, whatever their results.
 bool may_retry(repeat_rule repeats, int most_attempts, const attempt_history& history,
                attempt_end last);
 
-/// What the caller is told when the last send ended like this and no other follows.
+/// The response to the caller when the last attempt ended with `last` and no other follows.
 final_response choose_final_response(const attempt_history& history, attempt_end last);
 
 } // namespace bamboostream
--- a/bamboostream/src/Forwarding/backend_contract.h
+++ b/bamboostream/src/Forwarding/backend_contract.h
@@ -12,55 +12,57 @@
 
 namespace bamboostream {
 
-/// How requests and answers look on the wire of a deployment. An implementation only translates:
-/// it keeps no state and decides nothing.
+/// Translates requests and responses between a deployment's wire format and the forwarder's types.
+/// Implementations are stateless and make no routing or retry decisions.
 class request_codec {
 public:
     virtual ~request_codec() = default;
-    /// The caller's request; nothing, with the reason, when a field is malformed.
+    /// Parses a caller's request. Returns nothing and sets `why` if a field is malformed.
     virtual std::optional<forward_request> parse_request(const http_request& request,
                                                          std::string& why) const = 0;
-    /// The bytes of the request as the backend server gets it.
+    /// Serializes the request as it is sent to the backend server.
     virtual std::string serialize_request(const http_request& request,
                                           const attempt_parameters& send) const = 0;
-    virtual response_info parse_response(const http_channel& answer,
+    /// Interprets the head of a backend server's response to `request`.
+    virtual response_info parse_response(const http_channel& response,
                                          const forward_request& request) const = 0;
-    /// The fields of the answer that go on to the caller.
-    virtual std::vector<http_field> response_fields(const http_channel& answer) const = 0;
+    /// The response header fields that are forwarded to the caller.
+    virtual std::vector<http_field> response_fields(const http_channel& response) const = 0;
 };
 
-/// What came of moving a generation.
+/// Why a generation was not moved.
 enum class move_error : std::uint8_t {
     none,
-    /// It has not begun or has ended.
+    /// The generation has not started or has ended.
     not_running,
-    /// Another move of it is under way.
+    /// Another move of this generation is in progress.
     busy,
-    /// The target has no room or can't be reached.
+    /// The target lacks memory or can't be reached.
     refused,
-    /// The source didn't answer.
+    /// The source did not respond.
     unreachable,
 };
 using move_failure = failure<move_error>;
 
-/// A copy of a running generation.
+/// Result of copying a running generation to another engine.
 struct move_result {
     std::string handle;
-    /// The generation stands still at its source; it must be taken up elsewhere, or at the source
-    /// when `copied` is false.
+    /// The generation is suspended at its source. It must be resumed at the target, or at the
+    /// source if `copied` is false.
     bool stopped = false;
     bool copied = false;
 };
 
-/// Orders to engines about generations that run on them.
+/// Asks engines whether they are shutting down and moves their running generations.
 class generation_mover {
 public:
     virtual ~generation_mover() = default;
-    /// Whether the engine says that it leaves; nothing when it doesn't answer.
+    /// Whether the engine reports that it is shutting down; nothing if it does not respond.
     virtual boost::asio::awaitable<std::optional<bool>> is_leaving(std::string engine,
                                                                    milliseconds timeout) = 0;
-    /// Copies the memory of a generation from the engine at `source` to the one at `target`; a
-    /// second call copies what has come since. `last` stops the generation first.
+    /// Copies a generation's cache memory from the engine at `source` to the one at `target`. A
+    /// second call copies only what was added since the first. With `last`, the generation is
+    /// suspended before the copy. Returns nothing and sets `why` on failure.
     virtual boost::asio::awaitable<std::optional<move_result>>
     move(std::string source, std::string generation, std::string target, bool last,
          milliseconds timeout, move_failure& why) = 0;
--- a/bamboostream/src/Forwarding/engine_choice.cpp
+++ b/bamboostream/src/Forwarding/engine_choice.cpp
@@ -34,27 +34,27 @@
     wanted.avoid = request.avoid;
     wanted.near = request.near;
     wanted.server_memory_tokens = request.engine_memory_tokens;
-    const admission_request asked{request.work, request.engine_memory_tokens, request.priority,
-                                  request.objective};
-    const auto verdict_at = [&](const registered_backend& engine) {
-        return judge_admission(state.admission, asked, state.loads.total(engine.id, now),
+    const admission_request admission_terms{request.work, request.engine_memory_tokens,
+                                            request.priority, request.objective};
+    const auto verdict_for = [&](const registered_backend& engine) {
+        return judge_admission(state.admission, admission_terms, state.loads.total(engine.id, now),
                                state.prefill.tokens_a_ms(request.service, work_key(engine.id)));
     };
     const auto engines = servers_with_capacity(state, request.service, role, now);
-    std::vector<const registered_backend*> open = engines;
-    std::erase_if(open, [&](const registered_backend* engine) {
-        return verdict_at(*engine) != admission_verdict::admit;
+    std::vector<const registered_backend*> admitting = engines;
+    std::erase_if(admitting, [&](const registered_backend* engine) {
+        return verdict_for(*engine) != admission_verdict::admit;
     });
-    if (const auto* chosen = state.picker.pick(open, state.loads, wanted, now)) {
+    if (const auto* chosen = state.picker.pick(admitting, state.loads, wanted, now)) {
         record_send(state, *chosen, now);
         return {*chosen, admission_verdict::admit, state.loads.total(chosen->id, now), {}};
     }
-    // Of the engines that have no room, the least loaded says why.
-    const registered_backend* best = state.picker.pick(engines, state.loads, wanted, now);
-    if (best == nullptr) {
+    // No engine admits the request: the least loaded one gives the reason and the load to report.
+    const registered_backend* least_loaded = state.picker.pick(engines, state.loads, wanted, now);
+    if (least_loaded == nullptr) {
         return {};
     }
-    return {*best, verdict_at(*best), state.loads.total(best->id, now),
+    return {*least_loaded, verdict_for(*least_loaded), state.loads.total(least_loaded->id, now),
             state.overloads[request.service].note_refusal(now)};
 }
 
--- a/bamboostream/src/Forwarding/engine_choice.h
+++ b/bamboostream/src/Forwarding/engine_choice.h
@@ -15,56 +15,58 @@
 
 struct forwarding_state;
 
-/// What a generation asks of the engine that it is sent to.
+/// Requirements of a generation that is to be assigned to an engine.
 struct engine_request {
     service_id service;
-    /// What it adds to the work there.
+    /// The work that the generation adds to its engine.
     backend_work work;
-    /// Cache memory of each engine, in tokens.
+    /// Cache memory capacity of each engine of the service, in tokens.
     std::int64_t engine_memory_tokens = 0;
     int priority = 0;
-    /// Until the first event.
+    /// Target time until the first event.
     duration objective{};
-    /// Engines that it must not go to, for instance because it failed there.
+    /// Excluded engines, for instance those at which the request has failed.
     std::vector<backend_id> avoid;
+    /// Engines in this failure domain are preferred.
     failure_domain_id near;
 };
 
-/// The engine that serves a generation best, and whether it may go there now.
+/// The engine chosen for a generation, and whether admission control lets it start there now.
 struct engine_choice {
-    /// Nothing when no engine may get it.
+    /// Nothing if no engine is available.
     std::optional<registered_backend> engine;
     admission_verdict verdict = admission_verdict::admit;
-    /// The work at that engine which the verdict goes by.
+    /// The engine's work on which `verdict` is based.
     backend_work work;
-    /// When it is not admitted: how long generations of the service have been refused.
+    /// If not admitted: how long generations of the service have been refused.
     duration overload{};
 };
 
-/// As what this instance chooses the engines of a service by itself.
+/// The role in which this instance acts when it chooses engines of a service itself; `owner` if it
+/// has no scheduler.
 sender_role own_role(const forwarding_state& state, const service_id& service);
 
-/// Servers of a service to which an instance in that role may send one more request now: all that
-/// take work but for cold ones which have had their part of what they bear.
+/// Servers of a service to which an instance with `role` may send one more request now: all usable
+/// ones, except cold ones that have received this role's share of their cold-start rate.
 std::vector<const registered_backend*> servers_with_capacity(forwarding_state& state,
                                                              const service_id& service,
                                                              sender_role role, time_point now);
-/// Counts a request against what the server bears while it is cold.
+/// Counts a request against the server's cold-start rate, if the server is still cold.
 void record_send(forwarding_state& state, const registered_backend& server, time_point now);
 
-/// Chooses by what this instance knows.
+/// Chooses an engine by this instance's own view of the load.
 engine_choice choose_engine(forwarding_state& state, const engine_request& request,
                             sender_role role, time_point now);
 
-/// Another instance that knows the work at a service's engines better than this one.
+/// Chooses engines by asking another instance that has a more recent view of a service's load.
 class engine_scheduler {
 public:
     virtual ~engine_scheduler() = default;
-    /// Nothing when this instance must choose by itself, because it knows as much or because nobody
-    /// answers in time.
+    /// Returns nothing if this instance must choose itself: its view is as good, or no instance
+    /// replied in time.
     virtual boost::asio::awaitable<std::optional<engine_choice>>
     choose(const engine_request& request) = 0;
-    /// As what this instance chooses by itself.
+    /// The role in which this instance acts when it chooses itself.
     virtual sender_role role(const service_id& service) const = 0;
 };
 
--- a/bamboostream/src/Forwarding/event_splitter.cpp
+++ b/bamboostream/src/Forwarding/event_splitter.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view separator = "\n\n";
 
-std::optional<std::uint64_t> id_of(std::string_view event) {
+std::optional<std::uint64_t> parse_event_id(std::string_view event) {
     while (!event.empty()) {
         const std::size_t end = std::min(event.find('\n'), event.size());
         std::string_view line = event.substr(0, end);
@@ -38,7 +38,7 @@
         }
         const std::size_t end = at + separator.size();
         const std::string_view event(pending_.data() + begin, end - begin);
-        const auto id = id_of(event);
+        const auto id = parse_event_id(event);
         begin = end;
         if (id && last_id_ && *id <= *last_id_) {
             continue;
--- a/bamboostream/src/Forwarding/event_splitter.h
+++ b/bamboostream/src/Forwarding/event_splitter.h
@@ -7,34 +7,38 @@
 
 namespace bamboostream {
 
-/// What became of the bytes of a stream so far.
+/// Whether the events of a stream have arrived in order.
 enum class event_order : std::uint8_t {
     in_order,
-    /// An event is missing or its id can't be read; nothing after it may be passed on.
+    /// The ids have a gap: an event is missing, and nothing after the gap may be forwarded.
     broken,
 };
 
-/// Cuts an opaque stream of server-sent events into whole events and checks their order by id.
+/// Splits an opaque stream of server-sent events into complete events and checks their ids.
 ///
-/// A backend server that dies can stop in the middle of an event, and one that takes a stream up
-/// can repeat events. A caller must get neither half events nor repeated or missing ones, so bytes
-/// are passed on event by event, those already passed are dropped, and a gap ends the stream.
+/// A backend server that crashes can stop in the middle of an event, and one that resumes a stream
+/// can repeat events. The caller must receive no partial, duplicate or missing events. Bytes are
+/// therefore forwarded one complete event at a time, duplicates are dropped, and a gap in the ids
+/// ends the stream.
 ///
 /// Example: `splitter.append(bytes); splitter.take(out);`
 class event_splitter {
 public:
-    /// `last_id` is the last event that the caller has.
+    /// `last_id` is the id of the last event that the caller has received.
     explicit event_splitter(std::optional<std::uint64_t> last_id = std::nullopt)
         : last_id_(last_id) {}
 
     void append(std::string_view bytes) { pending_ += bytes; }
-    /// Appends the whole events that may be passed on to `out`.
+    /// Moves the complete events that may be forwarded to the end of `out`.
     event_order take(std::string& out);
-    /// Forgets a half event; a stream that goes on at another server begins with a whole one.
+    /// Discards a partial event: a stream that resumes at another server starts with a complete
+    /// one.
     void restart() { pending_.clear(); }
-    /// True when no part of an event waits.
+    /// Whether no partial event is buffered.
     bool at_boundary() const { return pending_.empty(); }
+    /// Id of the last event forwarded.
     std::optional<std::uint64_t> last_id() const { return last_id_; }
+    /// Number of events with an id that were forwarded.
     std::uint64_t events() const { return events_; }
 
 private:
--- a/bamboostream/src/Forwarding/forward_request.h
+++ b/bamboostream/src/Forwarding/forward_request.h
@@ -9,52 +9,52 @@
 
 namespace bamboostream {
 
-/// What the forwarder needs to know of a caller's request; method, path, body and all other fields
-/// pass through as they came.
+/// The properties of a caller's request that the forwarder uses. Method, path, body and all other
+/// header fields are forwarded unchanged.
 struct forward_request {
-    /// The caller's id of this attempt; every attempt has another.
+    /// The caller's id for this attempt; different for every attempt.
     std::string id;
     std::string host;
-    /// The caller's key; empty when it sent none.
+    /// The caller's API key; empty if it sent none.
     std::string key;
-    /// How long the caller waits; nothing when it didn't say.
+    /// How long the caller waits for the response; nothing if it did not say.
     std::optional<milliseconds> caller_timeout;
     std::int64_t prompt_tokens = 0;
-    /// The most the generation may put out; zero when the caller didn't say.
+    /// Upper limit of the output; zero if the caller set none.
     std::int64_t max_output_tokens = 0;
-    /// What the caller expects, the most when it expects nothing.
+    /// The caller's estimate; `max_output_tokens` if it gave none.
     std::int64_t expected_output_tokens = 0;
-    /// The caller has this event already and wants the next.
+    /// Id of the last event that the caller received, when it resumes a stream.
     std::optional<std::uint64_t> resume_after;
 };
 
-/// The memory of a generation that goes on at another engine.
+/// A copy of a generation's cache memory, from which another engine continues the generation.
 struct generation_copy {
-    /// The engine that named the handle, "ip:port".
+    /// The engine that issued the handle, as "ip:port".
     std::string holder;
     std::string handle;
 };
 
-/// What is set anew in each send of a request to a backend server.
+/// The request properties that are set anew for each attempt at a backend server.
 struct attempt_parameters {
     backend_id expected;
     std::string address;
-    /// Nothing when requests carry no keys.
+    /// Nothing if requests carry no keys.
     std::optional<workspace_id> workspace;
     milliseconds time_left{0};
     std::optional<std::uint64_t> resume_after;
     std::optional<generation_copy> copy;
 };
 
-/// What the head of a backend server's answer says.
+/// What the forwarder learns from the head of a backend server's response.
 struct response_info {
     int status = 0;
-    /// The server says that it has not run the request and won't.
+    /// The server reports that it has not executed the request and will not.
     bool not_run = false;
-    /// Another start of a server has the address.
+    /// The address now belongs to another server, or to a later start of the same one.
     bool wrong_server = false;
-    /// The answer belongs to this request and is the server's own. A success without this is the
-    /// late answer of another request, or noise.
+    /// The response belongs to this request and comes from the server itself. A success without
+    /// this is a late response to another request, or garbage.
     bool authentic = false;
 };
 
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -6,8 +6,8 @@
 #include <algorithm>
 #include <utility>
 
-// One send of a request to a backend server and what comes of it: the answer, the relayed stream,
-// and the moves of its generation. See forwarded_call.cpp for what comes before and after.
+// One attempt of a forwarded request at a backend server: connection, response, relayed stream and
+// moves of the generation. Routing, retries and the final response are in forwarded_call.cpp.
 
 namespace bamboostream {
 
@@ -15,27 +15,31 @@
 
 namespace {
 
-/// A connection inside a region takes a few milliseconds; a lost packet is sent again after a
-/// second. Waiting less finds a dead server soon, and another one is tried at no risk.
+/// A connection within a region takes a few milliseconds; a lost packet is retransmitted after a
+/// second. A shorter timeout detects a dead server early, and trying another one is safe because
+/// nothing has been sent.
 constexpr milliseconds connect_timeout{400};
-/// Idle connections that may carry a request which must not be sent twice: the longer a connection
-/// has been idle, the likelier its server is just closing it, and then the request is lost.
-constexpr milliseconds most_idle_for_once{1'500};
-constexpr seconds most_idle_for_repeatable{30};
-/// A send that may be repeated elsewhere is given up after so many objectives without an answer.
-constexpr int objectives_a_try = 2;
-/// A stream that may be taken up elsewhere is given up after a pause like this; engines pause for
-/// some 200 ms when they read a long prompt.
-constexpr milliseconds longest_pause{1'200};
-/// The last part of a move takes some 10 ms after the stream has stopped, much more when the link
-/// is shared; beyond this it has failed.
-constexpr milliseconds move_wait{1'600};
-/// A notice that is no older than this is followed whatever its target says: the target was usable
-/// when the last part began, at most 1.5 s before the notice, so the send is within the 2 s for
-/// which a leaving engine still takes what was on its way.
-constexpr milliseconds fresh_notice{400};
-/// Answers kept whole; larger ones are no answers of plain services.
-constexpr std::size_t answer_limit = 8 * 1024 * 1024;
+/// Maximum idle time of a connection that is reused. It is shorter for requests that must not be
+/// sent twice: the longer a connection has been idle, the likelier its server is just closing it,
+/// and then the request is lost.
+constexpr milliseconds max_idle_non_repeatable{1'500};
+constexpr seconds max_idle_repeatable{30};
+/// An attempt that may be repeated elsewhere is abandoned after this many objectives without a
+/// response.
+constexpr int objectives_per_attempt = 2;
+/// A stream that may be resumed elsewhere is abandoned after this time without an event. Engines
+/// pause for some 200 ms during the prefill of a long prompt.
+constexpr milliseconds max_event_gap{1'200};
+/// The last step of a move takes some 10 ms after the stream has stopped, and much longer on a
+/// shared link; after this time it is considered failed.
+constexpr milliseconds move_timeout{1'600};
+/// A move notice no older than this is followed even if its target is shutting down: the target was
+/// usable when the last step began, at most 1.5 s before the notice, so the request arrives within
+/// the 2 s in which an engine that shuts down still accepts requests already on their way.
+constexpr milliseconds max_notice_age{400};
+/// Responses without a stream are buffered up to this size; larger ones count as lost, because
+/// non-streaming services don't produce them.
+constexpr std::size_t max_response_bytes = 8 * 1024 * 1024;
 
 } // namespace
 
@@ -43,9 +47,9 @@
     history_.record(end);
     const bool counts =
         end == attempt_end::not_sent || end == attempt_end::lost || end == attempt_end::silent;
-    const bool ended_here = left_ || withdrawn_;
+    const bool ended_here = caller_left_ || withdrawn_;
     if (counts && !ended_here) {
-        note_outcome(to.backend.id, false);
+        record_outcome(to.backend.id, false);
     }
     if (end == attempt_end::not_sent && !ended_here) {
         state_.picker.on_unreachable(to.backend.id, monotonic_now());
@@ -57,16 +61,16 @@
     return end;
 }
 
-attempt_end forwarded_call::pass_over(const destination& to) {
+attempt_end forwarded_call::skip_backend(const destination& to) {
     history_.record(attempt_end::not_sent);
     log_event(
         events::attempt_failed,
-        "request={} route={} backend={} address={} end=not_sent reason=takes no work sends={}",
+        "request={} route={} backend={} address={} end=not_sent reason=accepts no work sends={}",
         request_.id, route_->name, to.backend.id.text(), to.backend.address, history_.sends);
     return attempt_end::not_sent;
 }
 
-void forwarded_call::note_outcome(const backend_id& server, bool succeeded) {
+void forwarded_call::record_outcome(const backend_id& server, bool succeeded) {
     const time_point now = monotonic_now();
     if (succeeded) {
         state_.picker.on_success(server, now);
@@ -82,7 +86,7 @@
     const time_point now = monotonic_now();
     const bool once = route_->repeats == repeat_rule::once;
     channel_ = state_.channels.take(
-        backend.address, once ? duration(most_idle_for_once) : duration(most_idle_for_repeatable),
+        backend.address, once ? duration(max_idle_non_repeatable) : duration(max_idle_repeatable),
         now);
     if (channel_) {
         co_return true;
@@ -90,20 +94,21 @@
     ++state_.counters.new_connections;
     channel_ = std::make_shared<http_channel>(exchange_.executor());
     http_failure why;
-    const auto left = std::chrono::duration_cast<milliseconds>(deadline_ - now);
-    co_return co_await channel_->connect(backend.address, std::min(connect_timeout, left), why);
+    const auto remaining = std::chrono::duration_cast<milliseconds>(deadline_ - now);
+    co_return co_await channel_->connect(backend.address, std::min(connect_timeout, remaining),
+                                         why);
 }
 
-time_point forwarded_call::attempt_limit() const {
+time_point forwarded_call::attempt_deadline() const {
     attempt_history after = history_;
     after.record(attempt_end::silent);
     if (!may_retry(route_->repeats, route_->most_attempts, after, attempt_end::silent)) {
         return deadline_;
     }
-    return std::min(deadline_, monotonic_now() + objectives_a_try * route_->objective);
+    return std::min(deadline_, monotonic_now() + objectives_per_attempt * route_->objective);
 }
 
-/// What the choice went by, before the request itself counts.
+/// Logs the data on which the choice was based, without the work of this request.
 void forwarded_call::log_send(const destination& to) const {
     const time_point now = monotonic_now();
     const backend_work work = to.work ? *to.work : state_.loads.total(to.backend.id, now);
@@ -125,18 +130,19 @@
 
 asio::awaitable<std::optional<attempt_end>> forwarded_call::attempt(const destination& to) {
     log_send(to);
-    enter_work(to.backend.id);
+    register_work(to.backend.id);
     if (!co_await open_channel(to.backend)) {
-        co_return fail(to, attempt_end::not_sent, "no connection");
+        co_return fail(to, attempt_end::not_sent, "connection failed");
     }
     const time_point now = monotonic_now();
-    if (left_ || withdrawn_ || now >= deadline_) {
+    if (caller_left_ || withdrawn_ || now >= deadline_) {
         co_return fail(to, attempt_end::not_sent, withdrawn_ ? "withdrawn" : "no time left");
     }
-    // A connection may take as long as the news that its failure domain is out of service.
+    // While the connection was established, the server's failure domain may have been taken out of
+    // service.
     if (!to.copy && !state_.registry.takes_work(to.backend.id)) {
         give_back(to);
-        co_return pass_over(to);
+        co_return skip_backend(to);
     }
     attempt_parameters send;
     send.expected = to.backend.id;
@@ -149,24 +155,24 @@
                    exchange_.request().method == "HEAD");
     if (!channel_->any_sent()) {
         state_.channels.drop(to.backend.address);
-        co_return fail(to, attempt_end::not_sent, "the connection was closed");
+        co_return fail(to, attempt_end::not_sent, "connection closed before the request was sent");
     }
     ++state_.counters.sends;
     sent_at_ = now;
     sent_to_ = to.backend;
-    answer_begun_ = false;
-    queued_before_ = to.work;
-    channel_->expire_at(to.copy ? deadline_ : attempt_limit());
+    response_head_received_ = false;
+    work_before_send_ = to.work;
+    channel_->expire_at(to.copy ? deadline_ : attempt_deadline());
     http_failure why;
     if (!co_await channel_->read_head(why)) {
         co_return fail(to, channel_->timed_out() ? attempt_end::silent : attempt_end::lost,
                        why.text);
     }
-    answer_begun_ = true;
-    co_return co_await take_answer(to);
+    response_head_received_ = true;
+    co_return co_await handle_response(to);
 }
 
-asio::awaitable<std::optional<attempt_end>> forwarded_call::take_answer(const destination& to) {
+asio::awaitable<std::optional<attempt_end>> forwarded_call::handle_response(const destination& to) {
     const response_info facts = state_.codec.parse_response(*channel_, request_);
     if (facts.wrong_server) {
         state_.registry.mark_leaving(to.backend.id);
@@ -179,16 +185,17 @@
         while (co_await channel_->read(ignored)) {
         }
         give_back(to);
-        co_return fail(to, attempt_end::not_run, facts.wrong_server ? "another server" : "refused");
+        co_return fail(to, attempt_end::not_run,
+                       facts.wrong_server ? "address belongs to another server" : "refused");
     }
     if (!facts.authentic) {
         channel_->close();
-        co_return fail(to, attempt_end::lost, "not the answer to this request");
+        co_return fail(to, attempt_end::lost, "response does not belong to this request");
     }
     if (route_->streaming && facts.status == 200) {
         co_return co_await relay(to, facts);
     }
-    co_return co_await take_body(to, facts);
+    co_return co_await forward_body(to, facts);
 }
 
 void forwarded_call::give_back(const destination& to) {
@@ -196,26 +203,25 @@
                               monotonic_now());
 }
 
-asio::awaitable<std::optional<attempt_end>> forwarded_call::take_body(const destination& to,
-                                                                      response_info facts) {
-    kept_answer answer{facts.status, state_.codec.response_fields(*channel_), {}};
-    while (answer.body.size() <= answer_limit && co_await channel_->read(answer.body)) {
+asio::awaitable<std::optional<attempt_end>> forwarded_call::forward_body(const destination& to,
+                                                                         response_info facts) {
+    saved_response response{facts.status, state_.codec.response_fields(*channel_), {}};
+    while (response.body.size() <= max_response_bytes && co_await channel_->read(response.body)) {
     }
     if (!channel_->complete()) {
         const bool silent = channel_->timed_out();
         channel_->close();
-        co_return fail(to, silent ? attempt_end::silent : attempt_end::lost,
-                       "the answer broke off");
+        co_return fail(to, silent ? attempt_end::silent : attempt_end::lost, "response incomplete");
     }
     give_back(to);
     if (facts.status >= 500) {
-        failure_ = std::move(answer);
-        co_return fail(to, attempt_end::failed, "the server failed");
+        failure_ = std::move(response);
+        co_return fail(to, attempt_end::failed, "server reported a failure");
     }
-    note_server_survived();
-    note_outcome(to.backend.id, true);
-    leave_work();
-    co_await exchange_.respond(answer.status, {}, std::move(answer.body), answer.fields);
+    record_server_survived();
+    record_outcome(to.backend.id, true);
+    unregister_work();
+    co_await exchange_.respond(response.status, {}, std::move(response.body), response.fields);
     state_.counters.count(forward_result::answered);
     log_event(events::request_ended, "request={} route={} backend={} status={} after_ms={:.0f}",
               request_.id, route_->name, to.backend.id.text(), facts.status,
@@ -233,7 +239,7 @@
               "request={} digest={} backend={} address={} process={} leaving={} answer_begun={} "
               "events={} after_send_ms={:.0f}",
               request_.id, digest().text(), sent_to_.id.text(), sent_to_.address,
-              to_string(process), leaving, answer_begun_, splitter_.events(),
+              to_string(process), leaving, response_head_received_, splitter_.events(),
               to_milliseconds(lost_at - sent_at_));
     if (process != process_state::ended || leaving) {
         co_return;
@@ -243,36 +249,37 @@
     evidence.server = life_key(sent_to_.id.text(), sent_to_.started_ms);
     evidence.caller = stable_hash(workspace_ ? workspace_->text() : "");
     evidence.at = lost_at;
-    evidence.answering = answer_begun_;
+    evidence.answering = response_head_received_;
     state_.quarantine.note_own(evidence, monotonic_now());
 }
 
-/// An engine whose memory is full keeps a prompt waiting for that, which says nothing of reading.
-void forwarded_call::note_reading() {
-    if (!service_->engine || !queued_before_ || request_.prompt_tokens <= 0 ||
-        queued_before_->memory_tokens + expected_work().memory_tokens >
+/// Skipped if the engine's memory was full: its prompts wait for memory, so the time to the first
+/// event does not measure prefill.
+void forwarded_call::record_prefill() {
+    if (!service_->engine || !work_before_send_ || request_.prompt_tokens <= 0 ||
+        work_before_send_->memory_tokens + expected_work().memory_tokens >
             service_->engine->memory_tokens) {
         return;
     }
     const reading_sample sample{
-        static_cast<double>(queued_before_->unread_tokens + request_.prompt_tokens),
+        static_cast<double>(work_before_send_->unread_tokens + request_.prompt_tokens),
         to_milliseconds(first_event_ - sent_at_)};
-    state_.prefill.note(service_->id, work_key(entered_at_), sample);
-    state_.engine_outcomes.note_reading(entered_at_, sample);
+    state_.prefill.note(service_->id, work_key(work_backend_), sample);
+    state_.engine_outcomes.note_reading(work_backend_, sample);
 }
 
 bool forwarded_call::is_movable() const {
     return route_->repeats == repeat_rule::once && service_->engine && service_->engine->moves;
 }
 
-asio::awaitable<bool> forwarded_call::pass_on(std::string_view events, int status) {
+asio::awaitable<bool> forwarded_call::forward_events(std::string_view events, int status) {
     const time_point now = monotonic_now();
-    longest_pause_ = begun_ ? std::max(longest_pause_, now - latest_event_) : duration{};
+    longest_pause_ = stream_started_ ? std::max(longest_pause_, now - latest_event_) : duration{};
     latest_event_ = now;
-    if (!begun_) {
-        begun_ = true;
+    if (!stream_started_) {
+        stream_started_ = true;
         first_event_ = now;
-        note_reading();
+        record_prefill();
         const std::vector<http_field> fields = state_.codec.response_fields(*channel_);
         if (!co_await exchange_.begin_stream(status, {}, fields)) {
             co_return false;
@@ -295,7 +302,7 @@
     stream_->moved.reset();
     stream_->move_expected = false;
     splitter_.restart();
-    const bool may_go_on = route_->repeats == repeat_rule::resumable;
+    const bool is_resumable = route_->repeats == repeat_rule::resumable;
     const int tokens_per_event = service_->engine ? service_->engine->tokens_per_event : 1;
     std::string bytes;
     std::string events;
@@ -308,35 +315,34 @@
         if (events.empty()) {
             continue;
         }
-        if (!co_await pass_on(events, facts.status)) {
-            left_ = true;
+        if (!co_await forward_events(events, facts.status)) {
+            caller_left_ = true;
             channel_->close();
-            co_return fail(to, attempt_end::lost, "the caller left");
+            co_return fail(to, attempt_end::lost, "caller disconnected");
         }
         stream_->output_tokens = static_cast<std::int64_t>(splitter_.events()) * tokens_per_event;
         const std::int64_t output = stream_->output_tokens + estimate_remaining_tokens(*stream_);
         update_work({1, request_.prompt_tokens + output, 0});
-        if (may_go_on) {
-            channel_->expire_at(std::min(deadline_, monotonic_now() + longest_pause));
+        if (is_resumable) {
+            channel_->expire_at(std::min(deadline_, monotonic_now() + max_event_gap));
         }
     }
-    const bool whole =
+    const bool complete_stream =
         order == event_order::in_order && channel_->complete() && splitter_.at_boundary();
-    const bool stopped_for_move = channel_->ended_by_close() && stream_->move_expected;
-    if (!whole || stopped_for_move) {
+    const bool ended_for_move = channel_->ended_by_close() && stream_->move_expected;
+    if (!complete_stream || ended_for_move) {
         const bool silent = channel_->timed_out();
         channel_->close();
         co_return fail(to, silent ? attempt_end::silent : attempt_end::lost,
-                       order == event_order::broken ? "an event is missing"
-                                                    : "the stream broke off");
+                       order == event_order::broken ? "an event is missing" : "stream incomplete");
     }
     give_back(to);
-    if (!begun_) {
+    if (!stream_started_) {
         co_await exchange_.begin_stream(facts.status, {}, {});
     }
     co_await exchange_.end_stream();
-    note_server_survived();
-    note_outcome(to.backend.id, true);
+    record_server_survived();
+    record_outcome(to.backend.id, true);
     state_.counters.count(forward_result::answered);
     log_event(
         events::request_ended,
@@ -354,28 +360,30 @@
         co_return false;
     }
     const registered_backend* source = state_.registry.find(stream_->backend);
-    const bool leaves = source == nullptr || source->leaving;
-    if (!stream_->moved && (stream_->move_expected || leaves)) {
-        co_await wait_on(stream_->noticed, monotonic_now() + move_wait);
+    const bool source_leaving = source == nullptr || source->leaving;
+    if (!stream_->moved && (stream_->move_expected || source_leaving)) {
+        co_await wait_on(stream_->move_signal, monotonic_now() + move_timeout);
     }
     co_return stream_->moved.has_value();
 }
 
-/// A stream whose source couldn't be reached may go on there for seconds after its notice. One such
-/// stream was sent to its target 6.2 s after this had said that it leaves.
-bool forwarded_call::may_follow(const move_notice& notice, time_point now) const {
-    return state_.registry.takes_work(notice.target) || now - stream_->noticed_at <= fresh_notice;
+/// A stream whose source was unreachable may continue there for seconds after the notice. One such
+/// stream was sent to its target 6.2 s after the target had announced its shutdown.
+bool forwarded_call::may_follow_move(const move_notice& notice, time_point now) const {
+    return state_.registry.takes_work(notice.target) ||
+           now - stream_->notified_at <= max_notice_age;
 }
 
-/// Goes on where the generation was moved to, as often as it is moved. A target that doesn't take
-/// the copy leaves the generation at the engine that stopped it, which still has its memory.
+/// Continues the generation at its target each time it is moved. If a target does not accept the
+/// copy, the generation stays at the source that suspended it, which still holds its memory.
 asio::awaitable<std::optional<attempt_end>> forwarded_call::follow_moves(attempt_end end) {
-    while (!left_ && co_await await_move()) {
+    while (!caller_left_ && co_await await_move()) {
         const move_notice notice = *stream_->moved;
         stream_->moved.reset();
-        if (!may_follow(notice, monotonic_now())) {
-            log_event(events::move_failed, "request={} source={} target={} reason=target left",
-                      request_.id, notice.copy.holder, notice.target.text());
+        if (!may_follow_move(notice, monotonic_now())) {
+            log_event(events::move_failed,
+                      "request={} source={} target={} reason=target shutting down", request_.id,
+                      notice.copy.holder, notice.target.text());
             co_return end;
         }
         const registered_backend* known = state_.registry.find(notice.target);
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -14,18 +14,18 @@
 
 namespace {
 
-/// Engines read some prompt and put out some tokens for requests that say nothing of their size.
-constexpr std::int64_t assumed_memory_tokens = 1'000;
-/// A configuration that was told of comes from another instance in less, unless its transfer is
-/// long or somebody is cut off; callers of short calls wait a few times as long in all.
-constexpr milliseconds longest_wait_for_configuration{200};
-constexpr milliseconds look_for_configuration{10};
+/// Estimate of prompt and output tokens for requests that don't state their size.
+constexpr std::int64_t default_memory_tokens = 1'000;
+/// An announced configuration arrives from another instance sooner than this, unless the transfer
+/// is large or a network link is down. Callers of short calls wait a few times as long in total.
+constexpr milliseconds max_configuration_wait{200};
+constexpr milliseconds configuration_poll_interval{10};
 
 std::string error_body(std::string_view code) {
     return boost::json::serialize(boost::json::object{{"error", {{"code", code}}}});
 }
 
-http_field come_back_field(duration after) {
+http_field retry_after_field(duration after) {
     return {"Retry-After", fmt::format("{:.2f}", to_milliseconds(after) / 1000.0)};
 }
 
@@ -39,7 +39,7 @@
 
 forwarded_call::~forwarded_call() {
     state_.quarantine.remove(*this);
-    leave_work();
+    unregister_work();
     record_latency();
     if (stream_) {
         state_.streams.remove(stream_->id);
@@ -55,8 +55,8 @@
         return;
     }
     latency_metrics& times = state_.latency;
-    times.record(latency_stage::whole, route_->repeats, monotonic_now() - arrival_);
-    if (begun_) {
+    times.record(latency_stage::total, route_->repeats, monotonic_now() - arrival_);
+    if (stream_started_) {
         times.record(latency_stage::first_event, route_->repeats, first_event_ - arrival_);
         times.record(latency_stage::longest_pause, route_->repeats, longest_pause_);
     }
@@ -88,9 +88,9 @@
     }
     const milliseconds caller_timeout = request_.caller_timeout.value_or(route_->timeout);
     deadline_ = arrival_ + std::min(caller_timeout, route_->timeout);
-    // What may last beyond the end of this process would be cut there, after a backend server has
-    // worked on it: a stream that was taken 5.7 s after the signal on a kept connection was closed
-    // without an answer.
+    // A request that may outlast this process would be cut off after a backend server has worked on
+    // it. A stream accepted on a persistent connection 5.7 s after the shutdown signal was closed
+    // without a response.
     if (state_.leaving && deadline_ > state_.shutdown_deadline) {
         return rejection{503, "leaving", refusal_cause::leaving};
     }
@@ -100,18 +100,19 @@
     return std::nullopt;
 }
 
-/// Callers don't come back after 404 or 401. An instance that has been told of a newer
-/// configuration and goes by the old one would deny them for good what the operator has allowed: it
-/// waits for the newer one, and then says "not run".
-asio::awaitable<std::optional<forwarded_call::rejection>> forwarded_call::prepare_by_newest() {
+/// Callers don't retry after 404 or 401. An instance that knows of a newer configuration but still
+/// uses the old one would permanently reject what the operator has allowed. It therefore waits for
+/// the newer configuration, and on a timeout responds with a retryable "not run".
+asio::awaitable<std::optional<forwarded_call::rejection>>
+forwarded_call::prepare_with_newest_configuration() {
     std::optional<rejection> refused = prepare();
-    const time_point limit = arrival_ + longest_wait_for_configuration;
-    while (refused && refused->by_table &&
+    const time_point limit = arrival_ + max_configuration_wait;
+    while (refused && refused->depends_on_configuration &&
            state_.announced_configuration > routes_->configuration().version) {
         if (monotonic_now() >= limit) {
             co_return rejection{503, "configuration_late", refusal_cause::crowded};
         }
-        co_await pause_for(look_for_configuration);
+        co_await pause_for(configuration_poll_interval);
         if (state_.routes != routes_) {
             routes_ = state_.routes;
             refused = prepare();
@@ -134,29 +135,30 @@
     return std::nullopt;
 }
 
-duration forwarded_call::return_time(refusal_cause cause) const {
+duration forwarded_call::retry_delay(refusal_cause cause) const {
     refused_request about{cause, route_ ? route_->objective : duration{}, request_.caller_timeout,
-                          overload_};
+                          overload_duration_};
     if (cause == refusal_cause::quarantined) {
         about.quarantine = state_.quarantine.held_for(*digest_, monotonic_now());
     }
     return come_back_after(about, state_.random);
 }
 
-/// While the store is away, servers that can't be reached are those that have gone since.
-refusal_cause forwarded_call::cause_of_not_run() const {
+/// While the store is unavailable, servers that can't be reached are those that have ended since, so
+/// the cause is missing information and not overload.
+refusal_cause forwarded_call::not_run_cause() const {
     if (digest_ && state_.quarantine.holds(*digest_)) {
         return refusal_cause::quarantined;
     }
     const bool known =
         !state_.registry.store_away() && !state_.registry.usable(service_->id).empty();
-    return turned_away_ || known ? refusal_cause::crowded : refusal_cause::nothing_known;
+    return admission_refused_ || known ? refusal_cause::crowded : refusal_cause::nothing_known;
 }
 
 asio::awaitable<void> forwarded_call::reject(rejection why) {
     std::vector<http_field> fields;
     if (why.not_run) {
-        fields.push_back(come_back_field(return_time(*why.not_run)));
+        fields.push_back(retry_after_field(retry_delay(*why.not_run)));
     }
     state_.counters.count(forward_result::rejected);
     log_event(events::request_refused, "request={} reason={} status={} configuration_version={}{}",
@@ -170,45 +172,45 @@
         return {1, 0, 0};
     }
     const std::int64_t tokens = request_.prompt_tokens + request_.expected_output_tokens;
-    return {1, tokens > 0 ? tokens : assumed_memory_tokens, request_.prompt_tokens};
+    return {1, tokens > 0 ? tokens : default_memory_tokens, request_.prompt_tokens};
 }
 
-void forwarded_call::enter_work(const backend_id& id) {
-    leave_work();
-    entered_at_ = id;
+void forwarded_call::register_work(const backend_id& id) {
+    unregister_work();
+    work_backend_ = id;
     update_work(expected_work());
 }
 
 void forwarded_call::update_work(const backend_work& work) {
-    const bool matters = work.unread_tokens != entered_.unread_tokens;
-    state_.loads.subtract(entered_at_, entered_);
-    entered_ = work;
-    state_.loads.add(entered_at_, entered_);
-    if (matters && state_.on_generation_change) {
+    const bool must_notify = work.unread_tokens != registered_work_.unread_tokens;
+    state_.loads.subtract(work_backend_, registered_work_);
+    registered_work_ = work;
+    state_.loads.add(work_backend_, registered_work_);
+    if (must_notify && state_.on_generation_change) {
         state_.on_generation_change();
     }
 }
 
-void forwarded_call::leave_work() {
-    if (entered_at_.empty()) {
+void forwarded_call::unregister_work() {
+    if (work_backend_.empty()) {
         return;
     }
-    const bool matters = entered_.memory_tokens > 0;
-    state_.loads.subtract(entered_at_, entered_);
-    entered_ = {};
-    entered_at_ = {};
-    if (matters && state_.on_generation_change) {
+    const bool must_notify = registered_work_.memory_tokens > 0;
+    state_.loads.subtract(work_backend_, registered_work_);
+    registered_work_ = {};
+    work_backend_ = {};
+    if (must_notify && state_.on_generation_change) {
         state_.on_generation_change();
     }
 }
 
 asio::awaitable<std::optional<forwarded_call::destination>> forwarded_call::choose() {
-    if (service_->engine && !begun_) {
-        co_return co_await choose_for_generation();
+    if (service_->engine && !stream_started_) {
+        co_return co_await choose_engine_for_generation();
     }
     placement_request wanted;
     wanted.avoid = avoid_;
-    wanted.near = state_.here;
+    wanted.near = state_.local_failure_domain;
     wanted.server_memory_tokens = service_->engine ? service_->engine->memory_tokens : 0;
     const time_point now = monotonic_now();
     const sender_role role = service_->engine ? own_role(state_, service_->id) : sender_role::peer;
@@ -221,7 +223,7 @@
 }
 
 asio::awaitable<std::optional<forwarded_call::destination>>
-forwarded_call::choose_for_generation() {
+forwarded_call::choose_engine_for_generation() {
     engine_request wanted;
     wanted.service = service_->id;
     wanted.work = expected_work();
@@ -229,7 +231,7 @@
     wanted.priority = priority_;
     wanted.objective = route_->objective;
     wanted.avoid = avoid_;
-    wanted.near = state_.here;
+    wanted.near = state_.local_failure_domain;
     std::optional<engine_choice> choice;
     if (state_.scheduler != nullptr) {
         choice = co_await state_.scheduler->choose(wanted);
@@ -241,15 +243,15 @@
         co_return std::nullopt;
     }
     if (choice->verdict != admission_verdict::admit) {
-        turned_away_ = true;
-        overload_ = choice->overload;
-        log_turned_away(*choice);
+        admission_refused_ = true;
+        overload_duration_ = choice->overload;
+        log_admission_refusal(*choice);
         co_return std::nullopt;
     }
     co_return destination{*choice->engine, std::nullopt, choice->work};
 }
 
-void forwarded_call::log_turned_away(const engine_choice& choice) const {
+void forwarded_call::log_admission_refusal(const engine_choice& choice) const {
     log_event(events::request_refused,
               "request={} reason={} route={} backend={} memory_tokens={} unread_tokens={} of={}",
               request_.id,
@@ -262,20 +264,20 @@
     if (state_.leaving) {
         exchange_.close_after();
     }
-    if (const auto refused = co_await prepare_by_newest()) {
+    if (const auto refused = co_await prepare_with_newest_configuration()) {
         co_await reject(*refused);
         co_return;
     }
     exchange_.watch_caller([this] {
-        left_ = true;
+        caller_left_ = true;
         if (channel_) {
             channel_->close();
         }
         if (stream_) {
-            stream_->noticed.cancel();
+            stream_->move_signal.cancel();
         }
     });
-    if (is_held()) {
+    if (is_quarantined()) {
         co_await reject(rejection{503, "ends_servers", refusal_cause::quarantined});
         co_return;
     }
@@ -284,16 +286,16 @@
     while (true) {
         const auto to = co_await choose();
         std::optional<attempt_end> end = attempt_end::not_sent;
-        if (to && !left_ && !withdrawn_) {
+        if (to && !caller_left_ && !withdrawn_) {
             end = co_await attempt(*to);
         }
-        if (end && !left_ && !withdrawn_) {
+        if (end && !caller_left_ && !withdrawn_) {
             end = co_await follow_moves(*end);
         }
-        if (end == attempt_end::lost && !left_ && !withdrawn_) {
+        if (end == attempt_end::lost && !caller_left_ && !withdrawn_) {
             co_await examine_lost_connection();
         }
-        if (left_) {
+        if (caller_left_) {
             state_.counters.count(forward_result::caller_left);
             log_event(events::caller_left, "request={} route={} sends={}", request_.id,
                       route_->name, history_.sends);
@@ -302,8 +304,8 @@
         if (!end) {
             co_return;
         }
-        if (!to || !try_again(*end)) {
-            co_await finish(*end);
+        if (!to || !try_acquire_retry(*end)) {
+            co_await respond_failure(*end);
             co_return;
         }
         avoid_.push_back(to->backend.id);
@@ -317,12 +319,12 @@
     return *digest_;
 }
 
-bool forwarded_call::is_held() {
+bool forwarded_call::is_quarantined() {
     return state_.quarantine.any() && state_.quarantine.holds(digest());
 }
 
 void forwarded_call::withdraw(const request_digest& request) {
-    if (begun_ || left_ || digest() != request) {
+    if (stream_started_ || caller_left_ || digest() != request) {
         return;
     }
     withdrawn_ = true;
@@ -331,16 +333,16 @@
     }
 }
 
-void forwarded_call::note_server_survived() {
+void forwarded_call::record_server_survived() {
     const http_request& request = exchange_.request();
     if (state_.quarantine.wants_answer(request.target.size() + request.body.size())) {
         state_.quarantine.note_answer(digest(), monotonic_now());
     }
 }
 
-bool forwarded_call::try_again(attempt_end end) {
+bool forwarded_call::try_acquire_retry(attempt_end end) {
     const time_point now = monotonic_now();
-    if (withdrawn_ || is_held()) {
+    if (withdrawn_ || is_quarantined()) {
         return false;
     }
     if (now >= deadline_ || !may_retry(route_->repeats, route_->most_attempts, history_, end)) {
@@ -349,20 +351,20 @@
     return history_.sends == 0 || state_.budget.try_spend(service_->id, state_.live_instances, now);
 }
 
-asio::awaitable<void> forwarded_call::finish(attempt_end end) {
-    const final_response answer = choose_final_response(history_, end);
+asio::awaitable<void> forwarded_call::respond_failure(attempt_end end) {
+    const final_response response = choose_final_response(history_, end);
     forward_result result = forward_result::broken_off;
-    if (begun_) {
+    if (stream_started_) {
         exchange_.abort();
-    } else if (answer == final_response::backend_failure && failure_) {
+    } else if (response == final_response::backend_failure && failure_) {
         result = forward_result::backend_failed;
         co_await exchange_.respond(failure_->status, {}, std::move(failure_->body),
                                    failure_->fields);
-    } else if (answer == final_response::not_run) {
+    } else if (response == final_response::not_run) {
         result = forward_result::not_run;
-        const http_field come_back = come_back_field(return_time(cause_of_not_run()));
-        co_await exchange_.respond_json(503, error_body("not_run"), {&come_back, 1});
-    } else if (answer == final_response::timed_out) {
+        const http_field retry_after = retry_after_field(retry_delay(not_run_cause()));
+        co_await exchange_.respond_json(503, error_body("not_run"), {&retry_after, 1});
+    } else if (response == final_response::timed_out) {
         result = forward_result::timed_out;
         co_await exchange_.respond_json(504, error_body("timed_out"));
     } else {
--- a/bamboostream/src/Forwarding/forwarded_call.h
+++ b/bamboostream/src/Forwarding/forwarded_call.h
@@ -14,11 +14,12 @@
 
 namespace bamboostream {
 
-/// One caller's request from its head to its final answer: finds its route, sends it to a backend
-/// server, passes the answer on, and sends it elsewhere while that is safe.
+/// Handles one caller's request from its head to its final response: finds the route, sends the
+/// request to a backend server, forwards the response, and retries at other servers as long as that
+/// is safe. Used on the thread of its `forwarding_state`.
 ///
 /// Example: `forwarded_call call(state, exchange, monotonic_now()); co_await call.run();`
-/// See also `may_retry` and `choose_final_response`, which decide; this class carries it out.
+/// `may_retry` and `choose_final_response` make the decisions that this class carries out.
 class forwarded_call final : public open_call {
 public:
     forwarded_call(forwarding_state& state, http_exchange& exchange, time_point arrival);
@@ -26,80 +27,85 @@
     forwarded_call(const forwarded_call&) = delete;
     forwarded_call& operator=(const forwarded_call&) = delete;
 
+    /// Runs the request to its final response. Call once.
     boost::asio::awaitable<void> run();
     void withdraw(const request_digest& request) override;
 
 private:
-    /// Why a request is turned away before it is sent anywhere.
+    /// Why a request is rejected before any attempt.
     struct rejection {
         int status = 0;
         std::string_view code;
-        /// Why it has not run; nothing when it never will, however often it comes back.
+        /// The cause if a later attempt may succeed; nothing if it never will. Determines
+        /// Retry-After.
         std::optional<refusal_cause> not_run;
-        /// The table of routes and keys says so.
-        bool by_table = false;
+        /// The route table rejected it, so that a newer configuration may accept it.
+        bool depends_on_configuration = false;
     };
-    /// A backend server's failure, kept until it is known that no other answer will come.
-    struct kept_answer {
+    /// A backend server's failure response, kept in case no other attempt succeeds.
+    struct saved_response {
         int status = 0;
         std::vector<http_field> fields;
         std::string body;
     };
-    /// A server and, when the generation was moved there, its copy.
+    /// The server of an attempt and, if the generation was moved there, the copy to continue from.
     struct destination {
         registered_backend backend;
         std::optional<generation_copy> copy;
-        /// The work there which the choice went by; nothing when that was this instance's view.
+        /// The server's work on which the choice was based; nothing if that is in `loads`.
         std::optional<backend_work> work;
     };
 
+    /// Parses the request and finds its route, workspace, service and deadline.
     std::optional<rejection> prepare();
-    /// The same, but looks for a newer table before the request is denied by one that is known to
-    /// be old.
-    boost::asio::awaitable<std::optional<rejection>> prepare_by_newest();
+    /// Like `prepare`, but waits for a newer configuration before the request is rejected by one
+    /// that is known to be outdated.
+    boost::asio::awaitable<std::optional<rejection>> prepare_with_newest_configuration();
     std::optional<rejection> find_workspace();
     boost::asio::awaitable<void> reject(rejection why);
-    duration return_time(refusal_cause cause) const;
-    refusal_cause cause_of_not_run() const;
+    duration retry_delay(refusal_cause cause) const;
+    refusal_cause not_run_cause() const;
     boost::asio::awaitable<std::optional<destination>> choose();
-    boost::asio::awaitable<std::optional<destination>> choose_for_generation();
+    boost::asio::awaitable<std::optional<destination>> choose_engine_for_generation();
     backend_work expected_work() const;
-    void log_turned_away(const engine_choice& choice) const;
-    /// Sends once; nothing when the caller has got its whole answer.
+    void log_admission_refusal(const engine_choice& choice) const;
+    /// Makes one attempt. Returns nothing if the caller has received its complete response.
     boost::asio::awaitable<std::optional<attempt_end>> attempt(const destination& to);
     void log_send(const destination& to) const;
     boost::asio::awaitable<bool> open_channel(const registered_backend& backend);
-    time_point attempt_limit() const;
-    boost::asio::awaitable<std::optional<attempt_end>> take_answer(const destination& to);
-    boost::asio::awaitable<std::optional<attempt_end>> take_body(const destination& to,
-                                                                 response_info facts);
+    time_point attempt_deadline() const;
+    boost::asio::awaitable<std::optional<attempt_end>> handle_response(const destination& to);
+    boost::asio::awaitable<std::optional<attempt_end>> forward_body(const destination& to,
+                                                                    response_info facts);
     boost::asio::awaitable<std::optional<attempt_end>> relay(const destination& to,
                                                              response_info facts);
-    boost::asio::awaitable<bool> pass_on(std::string_view events, int status);
+    boost::asio::awaitable<bool> forward_events(std::string_view events, int status);
     boost::asio::awaitable<bool> await_move();
-    /// Whether the engine that the stream is told to go on at may still be sent to.
-    bool may_follow(const move_notice& notice, time_point now) const;
+    /// Whether the target named by a move notice may still be sent the request.
+    bool may_follow_move(const move_notice& notice, time_point now) const;
     boost::asio::awaitable<std::optional<attempt_end>> follow_moves(attempt_end end);
-    /// Finds out whether the server whose connection broke has ended, which speaks against the
-    /// request unless the server was known to leave.
+    /// Checks whether the server whose connection was lost has crashed. If so, that is evidence
+    /// against the request, unless the server was known to be shutting down.
     boost::asio::awaitable<void> examine_lost_connection();
     const request_digest& digest();
-    /// Whether the request is refused because of what it does to servers.
-    bool is_held();
-    /// A server has run the request and runs on. A failure doesn't show that: a faulty server may
-    /// fail a request before it runs it.
-    void note_server_survived();
+    /// Whether the request is in quarantine because it crashes servers.
+    bool is_quarantined();
+    /// Records that a server executed the request and survived. Not called for failure responses,
+    /// because a faulty server may fail a request before executing it.
+    void record_server_survived();
     attempt_end fail(const destination& to, attempt_end end, std::string_view reason);
-    /// The server takes no work any more; nothing is held against it.
-    attempt_end pass_over(const destination& to);
-    /// A server has served the request, or has not.
-    void note_outcome(const backend_id& server, bool succeeded);
-    bool try_again(attempt_end end);
-    boost::asio::awaitable<void> finish(attempt_end end);
+    /// Ends an attempt because the server accepts no more work; not counted as its failure.
+    attempt_end skip_backend(const destination& to);
+    /// Records for server selection whether the server served the request.
+    void record_outcome(const backend_id& server, bool succeeded);
+    /// Whether another attempt is allowed. Spends one unit of the service's retry budget if the
+    /// request was sent before.
+    bool try_acquire_retry(attempt_end end);
+    boost::asio::awaitable<void> respond_failure(attempt_end end);
     void give_back(const destination& to);
     bool is_movable() const;
-    /// Tells how long the engine took to read until the first event, when that shows.
-    void note_reading();
+    /// Records the prefill time up to the first event, if the measurement is meaningful.
+    void record_prefill();
 
     forwarding_state& state_;
     http_exchange& exchange_;
@@ -110,42 +116,43 @@
     const route_rule* route_ = nullptr;
     const service_rule* service_ = nullptr;
     std::optional<workspace_id> workspace_;
-    /// The workspace's rank when it has one, else the route's.
+    /// The workspace's priority if it has one, else the route's.
     int priority_ = 0;
     attempt_history history_;
     std::vector<backend_id> avoid_;
     std::shared_ptr<http_channel> channel_;
     event_splitter splitter_;
     std::shared_ptr<active_stream> stream_;
-    std::optional<kept_answer> failure_;
-    /// Computed on first use: while no server has ended, none is needed.
+    std::optional<saved_response> failure_;
+    /// Computed on first use; not needed as long as no server has crashed.
     std::optional<request_digest> digest_;
-    /// The work that this request has entered into the load book, and where.
-    backend_id entered_at_;
-    backend_work entered_;
-    /// Where the request was last sent, and whether the head of an answer has come from there.
+    /// The work that this request has added to `loads`, and for which backend server.
+    backend_id work_backend_;
+    backend_work registered_work_;
+    /// The server of the latest attempt, and whether it has sent a response head.
     registered_backend sent_to_;
-    bool answer_begun_ = false;
-    /// When the request was last sent, and the work at its engine by which that was chosen.
+    bool response_head_received_ = false;
+    /// When the latest attempt was sent, and its engine's work when the engine was chosen.
     time_point sent_at_;
-    std::optional<backend_work> queued_before_;
-    /// When the first and the latest event went to the caller, and the longest pause between two.
+    std::optional<backend_work> work_before_send_;
+    /// When the first and the latest event were sent to the caller, and the longest pause between
+    /// two events.
     time_point first_event_;
     time_point latest_event_;
     duration longest_pause_{};
-    bool begun_ = false;
-    bool left_ = false;
-    /// The request was found to end servers while it was open.
+    bool stream_started_ = false;
+    bool caller_left_ = false;
+    /// The request was quarantined while in progress.
     bool withdrawn_ = false;
-    /// The engine that was chosen had no room.
-    bool turned_away_ = false;
-    /// How long generations had been refused then.
-    duration overload_{};
+    /// Admission control refused the request at the chosen engine.
+    bool admission_refused_ = false;
+    /// How long generations of the service had been refused by then.
+    duration overload_duration_{};
 
     void record_latency() const;
-    void enter_work(const backend_id& id);
+    void register_work(const backend_id& id);
     void update_work(const backend_work& work);
-    void leave_work();
+    void unregister_work();
 };
 
 } // namespace bamboostream
--- a/bamboostream/src/Forwarding/forwarding_state.h
+++ b/bamboostream/src/Forwarding/forwarding_state.h
@@ -42,71 +42,74 @@
     count_,
 };
 
-/// The name of a result in metrics and logs.
+/// Name of a result in metrics and log lines.
 std::string_view to_string(forward_result result);
 
-/// Counters of one instance.
+/// Request counters of one instance, exposed as metrics.
 struct forward_counters {
     std::array<std::uint64_t, static_cast<std::size_t>(forward_result::count_)> results{};
     std::uint64_t sends = 0;
     std::uint64_t new_connections = 0;
     std::uint64_t moved = 0;
+    /// Requests in progress.
     std::uint64_t open = 0;
-    /// Generations whose engine another instance chose, and questions to such that it didn't answer
-    /// in time.
+    /// Generations whose engine was chosen by another instance, and requests to choose one that
+    /// were not answered in time.
     std::uint64_t placed_by_owner = 0;
     std::uint64_t owner_timeouts = 0;
 
     void count(forward_result result) { ++results[static_cast<std::size_t>(result)]; }
 };
 
-/// What all forwarded requests of an instance share. Lives on one thread.
+/// State shared by all forwarded requests of an instance. All access is on one thread.
 struct forwarding_state {
-    forwarding_state(const request_codec& request_codec_used, failure_domain_id here_,
-                     window_budget_rules budget_rules, std::uint64_t seed)
-        : codec(request_codec_used), here(std::move(here_)), budget(budget_rules), picker(seed),
-          cold_starts(seed), random(seed + 1) {}
+    forwarding_state(const request_codec& request_codec_used,
+                     failure_domain_id local_failure_domain_, window_budget_rules budget_rules,
+                     std::uint64_t seed)
+        : codec(request_codec_used), local_failure_domain(std::move(local_failure_domain_)),
+          budget(budget_rules), picker(seed), cold_starts(seed), random(seed + 1) {}
 
     const request_codec& codec;
-    failure_domain_id here;
-    /// Null until the first configuration has been read.
+    failure_domain_id local_failure_domain;
+    /// Null until the first configuration has been loaded.
     std::shared_ptr<const route_table> routes;
-    /// The newest configuration that other instances have told of; zero before the first.
+    /// Highest configuration version announced by other instances; zero before the first.
     std::int64_t announced_configuration = 0;
     backend_registry registry;
-    /// How old what is known of the entries of backend servers and of the configuration is.
+    /// Age of this instance's view of the backend servers' entries and of the configuration.
     view_age entries_view;
     view_age documents_view;
     load_book loads;
-    /// How fast engines read prompts, by what this instance has seen and has been told.
+    /// Prefill speed of the engines, as measured here and reported by other instances.
     reading_rates prefill;
     window_budget budget;
     admission_rules admission;
     backend_picker picker;
     cold_start_limit cold_starts;
-    /// Refused generations by service, of those that this instance chooses engines for.
+    /// Overload per service, from the generations that this instance refused while choosing
+    /// engines.
     std::unordered_map<service_id, overload_watch> overloads;
-    /// What to tell those that choose engines for this instance.
+    /// Results to report to the instances that choose engines for this one.
     outcome_book engine_outcomes;
     http_channel_pool channels;
     server_check server_checks;
-    /// Requests that end the backend servers which run them.
+    /// Requests that crash the backend servers which execute them.
     quarantine_registry quarantine;
     active_streams streams;
     std::mt19937_64 random;
     forward_counters counters;
     latency_metrics latency;
-    /// Asked for the engine of a generation first; null when there is nobody to ask.
+    /// Asked first for the engine of a generation; null if this instance always chooses itself.
     engine_scheduler* scheduler = nullptr;
-    /// Live instances, this one included; shares of common budgets are counted by it.
+    /// Live instances, including this one. Shared budgets are divided by this number.
     std::size_t live_instances = 1;
-    /// A graceful shutdown has begun: connections close after their answer.
+    /// A graceful shutdown has begun: connections close after their current response.
     bool leaving = false;
-    /// When the process ends after that.
+    /// When the process exits after a graceful shutdown has begun.
     time_point shutdown_deadline = time_point::max();
-    /// Called when a generation is sent to an engine, begins to put out or ends.
+    /// Called when a generation is sent to an engine, produces its first output or ends.
     std::function<void()> on_generation_change;
-    /// Called after a change of the registry that forwarding itself has found.
+    /// Called after forwarding itself has changed the registry because of a response.
     std::function<void()> on_registry_change;
 };
 
--- a/bamboostream/src/Forwarding/latency_metrics.h
+++ b/bamboostream/src/Forwarding/latency_metrics.h
@@ -9,23 +9,23 @@
 
 namespace bamboostream {
 
-/// Which time of a request a distribution is of.
+/// The durations of a request that are measured; one histogram each.
 enum class latency_stage : std::uint8_t {
-    /// From its arrival to the end of its answer, whatever that was.
-    whole,
-    /// From its arrival to the first event that went to the caller.
+    /// From the request's arrival to the end of its response, successful or not.
+    total,
+    /// From the request's arrival to the first event sent to the caller.
     first_event,
     /// The longest pause between two events of a stream.
     longest_pause,
-    /// How old the view of the backend servers was when one was chosen.
+    /// Age of the view of the backend servers when one was chosen.
     view_age,
     count_,
 };
 
-/// Latency histograms of forwarded requests by stage and by what may be repeated; few series
-/// however many routes there are. Lives on one thread.
+/// Latency histograms of forwarded requests by stage and repeat rule. The number of series does not
+/// grow with the number of routes. Not thread-safe.
 ///
-/// Example: `latency.record(latency_stage::whole, route.repeats, now - arrival);`
+/// Example: `latency.record(latency_stage::total, route.repeats, now - arrival);`
 class latency_metrics {
 public:
     latency_metrics();
@@ -33,8 +33,8 @@
     latency_metrics(const latency_metrics&) = delete;
     latency_metrics& operator=(const latency_metrics&) = delete;
 
-    void record(latency_stage stage, repeat_rule repeats, duration took);
-    /// In the usual text exposition, in seconds.
+    void record(latency_stage stage, repeat_rule repeats, duration elapsed);
+    /// All histograms in the Prometheus text format, in seconds.
     std::string exposition() const;
 
 private:
--- a/bamboostream/src/Forwarding/request_identity.h
+++ b/bamboostream/src/Forwarding/request_identity.h
@@ -8,8 +8,8 @@
 
 namespace bamboostream {
 
-/// The digest of caller, method, host, target and body. The caller is the workspace where there is
-/// one, since keys may be renewed.
+/// Digest of caller, method, host, target and body, which identifies repeated attempts at the same
+/// request. The caller is identified by its workspace, if any, because API keys may be renewed.
 request_digest digest_of(const http_request& request, const std::optional<workspace_id>& caller);
 
 } // namespace bamboostream
--- a/bamboostream/src/Ledger/claim_table.cpp
+++ b/bamboostream/src/Ledger/claim_table.cpp
@@ -81,42 +81,43 @@
     const std::string name = call_name(entry.workspace, entry.key);
     const auto [found, is_new] = calls_.try_emplace(name);
     call& c = found->second;
-    c.touched = time;
+    c.last_updated = time;
     by_age_.push_back({time, name});
-    const auto same = std::find_if(c.claims.begin(), c.claims.end(),
-                                   [&](const claim& known) { return known.name == entry.claim; });
-    if (same == c.claims.end()) {
-        // An outcome or void may come before its claim: a claim whose append answer was lost can
-        // reach the log after the void that was sent because of it.
-        claim fresh;
-        fresh.name = entry.claim;
-        fresh.claimant = entry.claimant;
-        fresh.call_digest = entry.call_digest;
-        fresh.is_void = entry.kind == ledger_kind::void_claim;
-        fresh.decided = entry.kind == ledger_kind::outcome;
-        fresh.status = entry.status;
-        fresh.body = entry.body;
-        c.claims.push_back(std::move(fresh));
+    const auto existing = std::find_if(c.claims.begin(), c.claims.end(), [&](const claim& known) {
+        return known.name == entry.claim;
+    });
+    if (existing == c.claims.end()) {
+        // An outcome or void entry may precede its claim: if the response to the claim's append was
+        // lost, the claimant voids the claim, and the claim itself may reach the log later.
+        claim added;
+        added.name = entry.claim;
+        added.claimant = entry.claimant;
+        added.call_digest = entry.call_digest;
+        added.is_void = entry.kind == ledger_kind::void_claim;
+        added.decided = entry.kind == ledger_kind::outcome;
+        added.status = entry.status;
+        added.body = entry.body;
+        c.claims.push_back(std::move(added));
         return;
     }
-    if (entry.kind == ledger_kind::void_claim && !same->decided) {
-        same->is_void = true;
-    } else if (entry.kind == ledger_kind::outcome && !same->decided) {
-        same->decided = true;
-        same->status = entry.status;
-        same->body = entry.body;
+    if (entry.kind == ledger_kind::void_claim && !existing->decided) {
+        existing->is_void = true;
+    } else if (entry.kind == ledger_kind::outcome && !existing->decided) {
+        existing->decided = true;
+        existing->status = entry.status;
+        existing->body = entry.body;
     }
 }
 
 void claim_table::note_first_offset(std::int64_t first_offset, wall_time oldest_readable) {
     if (first_offset > next_offset_) {
-        // Records this reader never saw are gone.
+        // The log dropped records that this reader never saw.
         next_offset_ = first_offset;
         horizon_ = std::max(horizon_, oldest_readable);
     }
 }
 
-const claim_table::claim* claim_table::first_standing(const call& c) {
+const claim_table::claim* claim_table::first_valid_claim(const call& c) {
     const auto found =
         std::find_if(c.claims.begin(), c.claims.end(), [](const claim& x) { return !x.is_void; });
     return found == c.claims.end() ? nullptr : &*found;
@@ -124,16 +125,16 @@
 
 call_view claim_table::view(std::string_view workspace, std::string_view key) const {
     const auto found = calls_.find(call_name(workspace, key));
-    const claim* standing = found == calls_.end() ? nullptr : first_standing(found->second);
-    if (standing == nullptr) {
+    const claim* winner = found == calls_.end() ? nullptr : first_valid_claim(found->second);
+    if (winner == nullptr) {
         return {};
     }
-    return {standing->decided ? call_state::decided : call_state::claimed,
-            standing->name,
-            standing->claimant,
-            standing->call_digest,
-            standing->status,
-            standing->body};
+    return {winner->decided ? call_state::decided : call_state::claimed,
+            winner->name,
+            winner->claimant,
+            winner->call_digest,
+            winner->status,
+            winner->body};
 }
 
 claim_status claim_table::check_claim(std::string_view workspace, std::string_view key,
@@ -150,13 +151,13 @@
     if (own->is_void) {
         return claim_status::is_void;
     }
-    return first_standing(found->second) == &*own ? claim_status::won : claim_status::lost;
+    return first_valid_claim(found->second) == &*own ? claim_status::won : claim_status::lost;
 }
 
 void claim_table::prune_before(wall_time horizon) {
     while (!by_age_.empty() && by_age_.front().at < horizon) {
         const auto found = calls_.find(by_age_.front().name);
-        if (found != calls_.end() && found->second.touched < horizon) {
+        if (found != calls_.end() && found->second.last_updated < horizon) {
             calls_.erase(found);
         }
         by_age_.pop_front();
--- a/bamboostream/src/Ledger/claim_table.h
+++ b/bamboostream/src/Ledger/claim_table.h
@@ -15,40 +15,42 @@
 
 namespace bamboostream {
 
-/// Kinds of ledger records.
+/// Kinds of ledger entries: a claim on a call, the outcome of a call, and the withdrawal of a
+/// claim.
 enum class ledger_kind : std::uint8_t { claim, outcome, void_claim };
 
-/// One entry of the ledger. Many travel in one log record.
+/// One entry of the ledger. A log record contains one or more entries.
 struct ledger_entry {
     ledger_kind kind = ledger_kind::claim;
-    /// Workspace and the caller's key together name a call.
+    /// Workspace and the caller's idempotency key identify a call.
     std::string workspace;
     std::string key;
-    /// Unique name of the claim.
+    /// Unique id of the claim.
     std::string claim;
     instance_id claimant;
-    /// Digest of operation and body, so that a key reused for another call is noticed.
+    /// Digest of operation and body, to detect a key that is reused for another call.
     std::string call_digest;
-    /// Result, for outcomes.
+    /// Result of the call; set in outcomes only.
     int status = 0;
     std::string body;
 };
 
-/// Several entries as one log record, and back. A damaged record gives no entries.
+/// Encodes entries as one log record.
 std::string encode_ledger_record(std::span<const ledger_entry> entries);
+/// Decodes a log record. A malformed record yields no entries.
 std::vector<ledger_entry> decode_ledger_record(std::string_view data);
 
-/// Where a call stands according to the records read so far.
+/// State of a call according to the records read so far.
 enum class call_state : std::uint8_t {
-    /// No claim that stands: a new one may be made.
+    /// There is no valid claim; a new one may be made.
     unclaimed,
-    /// The first claim that stands has no outcome yet.
+    /// The first valid claim has no outcome yet.
     claimed,
     /// The outcome is known.
     decided,
 };
 
-/// What is known of a call.
+/// A call's state and its first valid claim.
 struct call_view {
     call_state state = call_state::unclaimed;
     std::string claim;
@@ -58,37 +60,41 @@
     std::string body;
 };
 
-/// What the claimant of a claim may do.
+/// Status of one claim, which determines whether its claimant may dispatch the call.
 enum class claim_status : std::uint8_t {
-    /// The claim has not been read back.
+    /// The claim has not been read back from the log.
     unread,
-    /// It is the first that stands: its claimant may dispatch, once.
+    /// The first valid claim: its claimant may dispatch the call, once.
     won,
-    /// Another claim stands before it.
+    /// An earlier claim is valid.
     lost,
-    /// It was made void.
+    /// The claim was voided.
     is_void,
 };
 
-/// The ledger of non-idempotent calls as a function of the log's records.
+/// State of all non-idempotent calls, computed from the records of the log. Guarantees that at most
+/// one claimant may dispatch a call.
 ///
-/// The first claim of a call that isn't void wins, in the order of the log. A claim never changes
-/// hands: only its claimant dispatches, after reading it back, and only its claimant makes it
-/// void, after deciding never to dispatch it. So a claimant that was paused can do no harm when it
-/// wakes, and no lease is needed. Pure; see `claim_keeper` for the asynchronous part.
+/// The first claim of a call, in log order, that is not void wins. A claim is never transferred:
+/// only its claimant dispatches the call, after reading the claim back, and only its claimant voids
+/// it, after deciding never to dispatch. A claimant that was paused is therefore harmless when it
+/// continues, and no lease is needed. Performs no I/O; see `claim_keeper` for that. Not
+/// thread-safe.
 class claim_table {
 public:
-    /// Takes the next record. Records at or before the last one taken are ignored.
+    /// Applies the next record. Records up to the last one applied are ignored.
     void apply(const log_record& record);
-    /// The log no longer has records before `first_offset`; calls with keys older than the oldest
-    /// readable record can't be judged any more.
+    /// Notes that the log has dropped the records before `first_offset`. If some of them were never
+    /// read, calls with keys older than `oldest_readable` can no longer be decided.
     void note_first_offset(std::int64_t first_offset, wall_time oldest_readable);
+    /// State of a call; `unclaimed` if it has no valid claim.
     call_view view(std::string_view workspace, std::string_view key) const;
+    /// Status of the claim with the given id.
     claim_status check_claim(std::string_view workspace, std::string_view key,
                              std::string_view claim) const;
-    /// Forgets calls last touched before `horizon`.
+    /// Removes calls whose latest record is older than `horizon`.
     void prune_before(wall_time horizon);
-    /// Keys with an earlier time can't be judged: their records may be gone.
+    /// Calls with keys from before this time can't be decided: their records may be gone.
     wall_time horizon() const { return horizon_; }
     std::int64_t next_offset() const { return next_offset_; }
     std::size_t size() const { return calls_.size(); }
@@ -105,14 +111,14 @@
     };
     struct call {
         std::vector<claim> claims;
-        wall_time touched = 0;
+        wall_time last_updated = 0;
     };
     struct age {
         wall_time at = 0;
         std::string name;
     };
     static std::string call_name(std::string_view workspace, std::string_view key);
-    static const claim* first_standing(const call& c);
+    static const claim* first_valid_claim(const call& c);
     void apply_entry(const ledger_entry& entry, wall_time time);
 
     std::unordered_map<std::string, call> calls_;
--- a/bamboostream/src/Placement/lease_table.cpp
+++ b/bamboostream/src/Placement/lease_table.cpp
@@ -36,15 +36,15 @@
     const std::string kind = text_at(*value, "kind");
     const std::string name = text_at(*value, "name");
     const instance_id who{text_at(*value, "address"), number_at(*value, "start_stamp")};
-    lease& known = leases_[name];
-    const bool own = known.fencing >= 0 && known.holder == who && !known.released;
-    const bool lapsed = record.time - known.renewed >= duration_.count();
+    lease& existing = leases_[name];
+    const bool own = existing.fencing >= 0 && existing.holder == who && !existing.released;
+    const bool expired = record.time - existing.renewed >= duration_.count();
     if (kind == "release") {
-        known.released = known.released || own;
-    } else if (kind == "acquire" && own && !lapsed) {
-        known.renewed = record.time;
-    } else if (kind == "acquire" && (known.fencing < 0 || known.released || lapsed)) {
-        known = {who, record.offset, record.time, false};
+        existing.released = existing.released || own;
+    } else if (kind == "acquire" && own && !expired) {
+        existing.renewed = record.time;
+    } else if (kind == "acquire" && (existing.fencing < 0 || existing.released || expired)) {
+        existing = {who, record.offset, record.time, false};
     }
 }
 
@@ -55,8 +55,8 @@
 }
 
 bool lease_table::held_by(std::string_view name, const instance_id& who) const {
-    const auto known = find(name);
-    return known && known->holder == who && !known->released;
+    const auto existing = find(name);
+    return existing && existing->holder == who && !existing->released;
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Placement/lease_table.h
+++ b/bamboostream/src/Placement/lease_table.h
@@ -12,32 +12,34 @@
 
 namespace bamboostream {
 
-/// A lease as the log tells it.
+/// State of a lease according to the log.
 struct lease {
     instance_id holder;
-    /// Offset of the record that began it; the fencing number of its orders.
+    /// Offset of the record that acquired the lease; serves as the fencing number of its orders.
     std::int64_t fencing = -1;
-    /// When the log took the last record of it, by the log's clock.
+    /// Log time of the latest record that acquired or renewed the lease.
     wall_time renewed = 0;
     bool released = false;
 };
 
-/// The leases on a log stream, one a name, as a function of its records. A record that asks for a
-/// lease gets it when the log's own times say that the one before had lapsed or was released; the
-/// times of instances play no part, so all readers agree.
+/// Leases by name, computed from the records of a log stream. A record acquires a lease if the
+/// previous lease had expired, by the log's timestamps, or was released. Clocks of instances are
+/// not used, so all readers agree.
 ///
-/// A holder may act only well inside the lease by its own monotonic clock, counted from before it
-/// sent the record; the next one waits the lease out. An engine that checks fencing numbers refuses
-/// a holder that slept past its lease; for one that ignores them, orders state the wanted end and
-/// the next holder corrects what a late order did.
+/// A holder may act only well within the lease by its own monotonic clock, measured from before it
+/// sent the record; its successor waits until the lease has expired. An engine that checks fencing
+/// numbers rejects a holder that was paused past its lease. For an engine that ignores them, orders
+/// state the desired state, so that the next holder corrects the effect of a late order.
 class lease_table {
 public:
     explicit lease_table(milliseconds duration) : duration_(duration) {}
 
-    /// Takes the next record; offsets must rise.
+    /// Applies the next record. Records with an offset below `next_offset()` are ignored.
     void apply(const log_record& record);
+    /// The lease of that name, even if released or expired; nothing if it was never acquired.
     std::optional<lease> find(std::string_view name) const;
-    /// Whether `who` holds the lease according to what has been read.
+    /// Whether `who` is the latest holder and has not released the lease, by the records applied so
+    /// far. Does not check whether the lease has expired since.
     bool held_by(std::string_view name, const instance_id& who) const;
     std::int64_t next_offset() const { return next_offset_; }
     milliseconds duration() const { return duration_; }
--- a/bamboostream/src/Placement/placement_plan.h
+++ b/bamboostream/src/Placement/placement_plan.h
@@ -11,7 +11,7 @@
 
 namespace bamboostream {
 
-/// An engine's true state, for planning.
+/// The state reported by an engine, as input for planning.
 struct engine_state {
     backend_id id;
     std::string model;
@@ -19,31 +19,32 @@
     std::vector<std::string> adapters;
     bool loading = false;
     bool usable = true;
-    /// Generations running there; the emptiest engine is changed first.
+    /// Generations in progress; the engine with the fewest is changed first.
     std::uint32_t running = 0;
 };
 
-/// One order to send to one engine.
+/// The next order and the engine to send it to.
 struct planned_order {
     backend_id engine;
     placement_order order;
 };
 
-/// Paces orders that load from the weight store.
+/// Limits the rate of model loads, which read from the weight store.
 struct load_rate_limit {
-    /// Least time between two loads that this holder begins.
-    milliseconds between_loads{1'000};
-    /// Engines of a pool that may load at the same time.
-    std::uint32_t most_loading = 1;
+    /// Minimum time between the starts of two loads by the same lease holder.
+    milliseconds min_load_interval{1'000};
+    /// Maximum number of engines of a pool that load at the same time.
+    std::uint32_t max_concurrent_loads = 1;
 };
 
-/// The next order that brings a pool's engines from their true state to the wanted one; nothing
-/// when all is as wanted, or when one more load would take the pool below the engines that must
-/// stay in service or outrun the weight store. Orders state the wanted end, so sending one twice
-/// does no harm. Called again and again, it converges whatever happened in between.
-std::optional<planned_order> plan_next_order(const pool_settings& wanted,
+/// Returns the next order that moves a pool's engines from their reported state towards the desired
+/// one. Returns nothing if the desired state is reached, or if another load would leave fewer
+/// engines in service than required or exceed the rate limit of the weight store. Orders state the
+/// desired state and are idempotent, so repeated calls converge regardless of what happened in
+/// between.
+std::optional<planned_order> plan_next_order(const pool_settings& desired,
                                              std::span<const engine_state> engines,
-                                             const load_rate_limit& pace, time_point last_load,
+                                             const load_rate_limit& limit, time_point last_load,
                                              time_point now);
 
 } // namespace bamboostream
--- a/bamboostream/src/Streams/call_safety.h
+++ b/bamboostream/src/Streams/call_safety.h
@@ -5,17 +5,17 @@
 
 namespace bamboostream {
 
-/// A call that may be sent again when its answer was lost.
+/// A call that may be sent again if its response was lost.
 struct idempotent_call {
     std::string key;
 };
 
-/// A call that must run at most once; the ledger decides who sends it, once.
+/// A call that must run at most once. The ledger decides which instance sends it, a single time.
 struct non_idempotent_call {
     std::string key;
 };
 
-/// Permission to send a call again. Making one from a non-idempotent call does not compile.
+/// Permission to send a call again. Constructing one from a non-idempotent call does not compile.
 ///
 /// Example: `retry_permit permit(idempotent_call{"k"});`
 class retry_permit {
--- a/bamboostream/src/Streams/relay.cpp
+++ b/bamboostream/src/Streams/relay.cpp
@@ -16,19 +16,19 @@
 
 namespace {
 
-/// Slack so that the timer fires after the limit and not just before it.
-constexpr milliseconds watch_slack{10};
-constexpr std::size_t longest_event = 256 * 1024;
-/// Dropped events of one stream that are logged one by one; the rest are only counted.
-constexpr std::uint32_t logged_drops = 1;
+/// Added to the timer so that it fires after the limit and not just before it.
+constexpr milliseconds timer_slack{10};
+constexpr std::size_t max_event_bytes = 256 * 1024;
+/// Dropped events per stream that are logged individually; the rest are only counted.
+constexpr std::uint32_t max_logged_drops = 1;
 constexpr std::array<std::string_view, 4> outcome_names = {"completed", "not_run", "incomplete",
                                                            "unknown"};
 
-/// Closes a stream that has been silent for too long. The timer is set for the earliest moment at
-/// which that can be, so a flowing stream costs a wake-up a limit, not one a token.
-struct silence_watch {
-    silence_watch(const asio::any_io_executor& executor, milliseconds silence_limit)
-        : timer(executor), limit(silence_limit) {}
+/// Closes a stream on which no bytes have arrived for `limit`. The timer is set to the earliest
+/// time at which that can happen, so an active stream costs one wake-up per `limit`, not per token.
+struct idle_watchdog {
+    idle_watchdog(const asio::any_io_executor& executor, milliseconds idle_timeout)
+        : timer(executor), limit(idle_timeout) {}
     asio::steady_timer timer;
     milliseconds limit;
     http_stream* stream = nullptr;
@@ -37,36 +37,37 @@
     bool ended = false;
 };
 
-asio::awaitable<void> watch_silence(std::shared_ptr<silence_watch> watch) {
-    while (!watch->ended) {
-        const bool reading = watch->stream != nullptr;
-        const time_point from = reading ? watch->last_bytes : monotonic_now();
-        watch->timer.expires_at(from + watch->limit + watch_slack);
+asio::awaitable<void> run_idle_watchdog(std::shared_ptr<idle_watchdog> watchdog) {
+    while (!watchdog->ended) {
+        const bool reading = watchdog->stream != nullptr;
+        const time_point from = reading ? watchdog->last_bytes : monotonic_now();
+        watchdog->timer.expires_at(from + watchdog->limit + timer_slack);
         boost::system::error_code ec;
-        co_await watch->timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
-        const bool silent = monotonic_now() - watch->last_bytes > watch->limit;
-        if (!watch->ended && watch->stream != nullptr && silent) {
-            watch->closed = true;
-            watch->stream->close();
-            watch->stream = nullptr;
+        co_await watchdog->timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+        const bool silent = monotonic_now() - watchdog->last_bytes > watchdog->limit;
+        if (!watchdog->ended && watchdog->stream != nullptr && silent) {
+            watchdog->closed = true;
+            watchdog->stream->close();
+            watchdog->stream = nullptr;
         }
     }
 }
 
-/// Ends the watch when the relay ends, whichever way.
-class watch_guard {
+/// Stops the watchdog when the relay returns or throws.
+class watchdog_guard {
 public:
-    explicit watch_guard(std::shared_ptr<silence_watch> watch) : watch_(std::move(watch)) {}
-    ~watch_guard() {
-        watch_->ended = true;
-        watch_->stream = nullptr;
-        watch_->timer.cancel();
+    explicit watchdog_guard(std::shared_ptr<idle_watchdog> watchdog)
+        : watchdog_(std::move(watchdog)) {}
+    ~watchdog_guard() {
+        watchdog_->ended = true;
+        watchdog_->stream = nullptr;
+        watchdog_->timer.cancel();
     }
-    watch_guard(const watch_guard&) = delete;
-    watch_guard& operator=(const watch_guard&) = delete;
+    watchdog_guard(const watchdog_guard&) = delete;
+    watchdog_guard& operator=(const watchdog_guard&) = delete;
 
 private:
-    std::shared_ptr<silence_watch> watch_;
+    std::shared_ptr<idle_watchdog> watchdog_;
 };
 
 } // namespace
@@ -92,7 +93,7 @@
         result.why = why.text;
         co_return result;
     }
-    // A lost answer may mean that the generation runs: `run` asks for it by its id.
+    // The generation may be running although the response was lost: `run` resumes it by its id.
     co_return co_await run(std::move(stream), request.generation, 0, out, progress);
 }
 
@@ -103,8 +104,8 @@
 
 asio::awaitable<std::shared_ptr<http_stream>>
 relay::reconnect(const generation_id& generation, std::uint64_t from, relay_result& result) {
-    const time_point give_up =
-        monotonic_now() + (from == 0 ? timing_.lost_before_first_token : timing_.lost_after);
+    const time_point give_up = monotonic_now() + (from == 0 ? timing_.first_token_lost_timeout
+                                                            : timing_.engine_lost_timeout);
     int refusals = 0;
     milliseconds pause_time = timing_.retry_pause;
     while (monotonic_now() < give_up) {
@@ -119,8 +120,8 @@
         if (why.code == engine_error::unknown_generation) {
             co_return nullptr;
         }
-        refusals = monotonic_now() - asked < timing_.quick_failure ? refusals + 1 : 0;
-        if (refusals >= timing_.refusals_until_lost) {
+        refusals = monotonic_now() - asked < timing_.refusal_threshold ? refusals + 1 : 0;
+        if (refusals >= timing_.max_consecutive_refusals) {
             co_return nullptr;
         }
         asio::steady_timer pause(executor_, pause_time);
@@ -135,9 +136,9 @@
                                          token_stream& out, relay_progress& progress) {
     relay_result result;
     token_sequencer sequencer(generation.text(), from);
-    auto watch = std::make_shared<silence_watch>(executor_, timing_.silence_limit);
-    watch_guard guard(watch);
-    asio::co_spawn(executor_, watch_silence(watch), asio::detached);
+    auto watchdog = std::make_shared<idle_watchdog>(executor_, timing_.idle_timeout);
+    watchdog_guard guard(watchdog);
+    asio::co_spawn(executor_, run_idle_watchdog(watchdog), asio::detached);
     time_point last_progress = monotonic_now();
     auto reader = std::make_unique<event_reader>();
     auto parser = std::make_unique<engine_event_parser>();
@@ -150,11 +151,11 @@
             }
             reader = std::make_unique<event_reader>();
         }
-        watch->stream = stream.get();
-        watch->last_bytes = monotonic_now();
+        watchdog->stream = stream.get();
+        watchdog->last_bytes = monotonic_now();
         const bool more = co_await stream->read(reader->buffer());
-        watch->last_bytes = monotonic_now();
-        watch->stream = nullptr;
+        watchdog->last_bytes = monotonic_now();
+        watchdog->stream = nullptr;
         bool broken = !more;
         event_reader::event event;
         while (!broken && reader->next(event)) {
@@ -166,10 +167,10 @@
                 ++result.dropped;
                 continue;
             }
-            const token_verdict verdict =
-                sequencer.judge(parsed.generation, parsed.sequence, parsed.final);
-            if (verdict == token_verdict::deliver) {
-                last_progress = watch->last_bytes;
+            const token_action action =
+                sequencer.evaluate(parsed.generation, parsed.sequence, parsed.final);
+            if (action == token_action::deliver) {
+                last_progress = watchdog->last_bytes;
                 progress.tokens.store(static_cast<std::uint32_t>(sequencer.next()),
                                       std::memory_order_relaxed);
                 if (!co_await out.token(parsed.sequence, parsed.text)) {
@@ -177,20 +178,20 @@
                     result.tokens = sequencer.next();
                     co_return result;
                 }
-            } else if (verdict == token_verdict::finish) {
+            } else if (action == token_action::finish) {
                 result.finish_reason = std::string(parsed.finish_reason);
                 result.end = result.finish_reason == "cancelled" ? relay_end::cancelled
                                                                  : relay_end::completed;
                 result.tokens = sequencer.next();
                 co_return result;
-            } else if (verdict == token_verdict::gap) {
+            } else if (action == token_action::gap) {
                 broken = true;
-            } else if (++result.dropped <= logged_drops) {
+            } else if (++result.dropped <= max_logged_drops) {
                 log_event(events::foreign_event_dropped, "backend={} generation={} number={}",
                           backend_.text(), sequencer.generation(), parsed.sequence);
             }
         }
-        if (reader->overflown(longest_event)) {
+        if (reader->overflown(max_event_bytes)) {
             broken = true;
         }
         if (out.caller_gone()) {
@@ -200,9 +201,9 @@
         if (broken) {
             stream->close();
             stream.reset();
-            // An engine that takes the stream up again and again without a token of it is as lost
-            // as one that does not answer.
-            if (monotonic_now() - last_progress > timing_.lost_after) {
+            // An engine that repeatedly resumes the stream without delivering a token is treated
+            // like one that does not respond.
+            if (monotonic_now() - last_progress > timing_.engine_lost_timeout) {
                 result.end = relay_end::lost;
                 result.why = "the engine resumes the generation but sends nothing of it";
                 break;
--- a/bamboostream/src/Streams/relay.h
+++ b/bamboostream/src/Streams/relay.h
@@ -12,59 +12,65 @@
 
 namespace bamboostream {
 
-/// Times that govern how a relay treats a silent or broken link to an engine.
+/// Timeouts and limits by which a relay handles an idle or broken connection to an engine.
 struct relay_timing {
-    /// Time for an engine to accept a generation.
+    /// Time limit for an engine to accept a generation.
     milliseconds start_timeout{1'000};
-    /// Silence, keep-alives included, after which the link is replaced.
-    milliseconds silence_limit{700};
+    /// Time without any bytes, including keep-alives, after which the connection is replaced.
+    milliseconds idle_timeout{700};
+    /// Time limit for one attempt to resume the stream.
     milliseconds reconnect_timeout{400};
-    /// Time without any contact after which the engine counts as lost.
-    milliseconds lost_after{6'000};
-    /// The same before the first token, when the request can still be run elsewhere.
-    milliseconds lost_before_first_token{1'500};
-    /// Connections refused or closed at once, in a row, after which the engine counts as lost
-    /// without waiting longer: its machine answers, but nobody is there.
-    int refusals_until_lost = 4;
-    /// Pause before a link is tried again; doubled each time.
+    /// Time without contact, or without a new token, after which the engine counts as lost.
+    milliseconds engine_lost_timeout{6'000};
+    /// Time without contact before the first token, when the request can still run elsewhere.
+    milliseconds first_token_lost_timeout{1'500};
+    /// Consecutive connections refused or closed at once after which the engine counts as lost
+    /// without further waiting: its host responds, but no engine is running there.
+    int max_consecutive_refusals = 4;
+    /// Pause before the first reconnection is repeated; doubled for each further one.
     milliseconds retry_pause{50};
-    /// An attempt that fails faster than this was refused; a slower one timed out.
-    milliseconds quick_failure{100};
+    /// A reconnection that fails faster than this was refused; a slower one timed out.
+    milliseconds refusal_threshold{100};
 };
 
 /// How a relay ended.
 enum class relay_end : std::uint8_t {
     completed,
-    /// The engine ended the generation by order.
+    /// The generation was cancelled at the engine by request.
     cancelled,
-    /// The engine refused the generation and did not run it.
+    /// The engine refused the generation or was unreachable, and did not run it.
     not_run,
-    /// The engine or the generation is gone.
+    /// The engine or the generation no longer exists.
     lost,
-    /// The caller is gone.
+    /// The caller has disconnected.
     caller_gone,
 };
 
-/// Counters of one relay, read by other threads while it runs.
+/// Counters of one relay. Other threads may read them while it runs.
 struct relay_progress {
     std::atomic<std::uint32_t> tokens{0};
     std::atomic<std::uint32_t> finished{0};
 };
 
+/// Outcome of a relay, with its counters.
 struct relay_result {
     relay_end end = relay_end::lost;
+    /// Tokens delivered, counted from the start of the generation.
     std::uint64_t tokens = 0;
     std::string finish_reason;
-    /// No connection to the engine came about.
+    /// No connection to the engine could be established.
     bool unreachable = false;
+    /// Times the stream was resumed on a new connection.
     std::uint32_t resumed = 0;
+    /// Malformed, duplicate and foreign events that were dropped.
     std::uint32_t dropped = 0;
+    /// Why the relay failed, for the caller and the log.
     std::string why;
 };
 
-/// Carries one generation's tokens from its engine to a sink: drops foreign and repeated events,
-/// asks for missing ones again, replaces a silent or broken link, and never mixes generations.
-/// Lives on the traffic thread of its caller; allocates nothing on the path of a token.
+/// Relays the tokens of one generation from its engine to a sink. Drops duplicate events and those
+/// of other generations, requests missing ones again, and replaces an idle or broken connection.
+/// Runs on its caller's traffic thread and does not allocate per token.
 class relay {
 public:
     relay(boost::asio::any_io_executor executor, backend_id backend, relay_timing timing);
@@ -72,7 +78,7 @@
     /// Starts the generation and relays it from its first token.
     boost::asio::awaitable<relay_result> start(const generation_request& request, token_stream& out,
                                                relay_progress& progress);
-    /// Takes an existing generation up from number `from`.
+    /// Resumes an existing generation from token number `from`.
     boost::asio::awaitable<relay_result> resume(generation_id generation, std::uint64_t from,
                                                 token_stream& out, relay_progress& progress);
 
--- a/bamboostream/src/Streams/resume_handle.cpp
+++ b/bamboostream/src/Streams/resume_handle.cpp
@@ -13,7 +13,7 @@
 
 constexpr char separator = '\x1f';
 constexpr std::size_t field_count = 5;
-constexpr std::size_t longest_handle = 1024;
+constexpr std::size_t max_handle_bytes = 1024;
 
 std::vector<std::string> split(std::string_view payload) {
     std::vector<std::string> fields;
@@ -52,7 +52,7 @@
 std::optional<resume_handle> handle_signer::verify(std::string_view text, const workspace_id& owner,
                                                    wall_time now, handle_failure& why) const {
     const std::size_t dot = text.find('.');
-    if (dot == std::string_view::npos || text.size() > longest_handle) {
+    if (dot == std::string_view::npos || text.size() > max_handle_bytes) {
         why.set(handle_error::malformed, "not a resume handle");
         return std::nullopt;
     }
--- a/bamboostream/src/Streams/resume_handle.h
+++ b/bamboostream/src/Streams/resume_handle.h
@@ -22,16 +22,16 @@
 };
 using handle_failure = failure<handle_error>;
 
-/// What a caller needs to take its stream up again at any instance.
+/// Data by which any instance can resume a caller's stream.
 struct resume_handle {
     backend_id backend;
     generation_id generation;
     workspace_id workspace;
-    /// Milliseconds since the Unix epoch after which it is no longer accepted.
+    /// Expiry time, in milliseconds since the Unix epoch.
     wall_time expires = 0;
 };
 
-/// A key that signs or verifies handles.
+/// A key that signs handles, if active, and verifies them.
 struct handle_key {
     std::string id;
     std::string secret;
@@ -40,8 +40,8 @@
 
 class handle_signer;
 
-/// A handle that has been signed. Only a signer makes one, and only a holder of one can emit
-/// tokens (`token_stream`), so no token can leave before its handle exists.
+/// A signed handle. Only `handle_signer` creates one, and `token_stream` requires one to emit
+/// tokens, so no token can be sent before its handle exists.
 class issued_handle {
 public:
     const std::string& text() const { return text_; }
@@ -55,8 +55,8 @@
     std::string text_;
 };
 
-/// Signs handles with the newest active key and verifies them against all keys, so that a rotation
-/// of keys cuts no stream.
+/// Signs handles with the newest active key and verifies them against all keys, so that key
+/// rotation interrupts no stream. Immutable after construction.
 ///
 /// Example: `auto h = signer.issue(content); auto back = signer.verify(h->text(), "acme", now,
 /// why);`
@@ -64,12 +64,14 @@
 public:
     explicit handle_signer(std::vector<handle_key> keys);
 
-    /// Nothing when there is no active key.
+    /// Signs a handle. Returns nothing if there is no active key.
     std::optional<issued_handle> issue(resume_handle content) const;
-    /// Verifies signature (in constant time), expiry and owner.
+    /// Verifies signature (in constant time), expiry and owner. Returns nothing and sets `why` if
+    /// one of them is invalid.
     std::optional<resume_handle> verify(std::string_view text, const workspace_id& owner,
                                         wall_time now, handle_failure& why) const;
-    /// A handle that was verified, in issued form, to go on emitting under it.
+    /// Verifies a handle and returns it as an issued handle, so that emission can continue under
+    /// it.
     std::optional<issued_handle> reissue(std::string_view text, const workspace_id& owner,
                                          wall_time now, handle_failure& why) const;
 
@@ -77,7 +79,7 @@
     std::vector<handle_key> keys_;
 };
 
-/// How long a handle is accepted after it was issued.
+/// Validity of a handle after it was issued, in milliseconds.
 inline constexpr wall_time handle_lifetime_ms = 3'600'000;
 
 } // namespace bamboostream
--- a/bamboostream/src/Streams/token_sequencer.h
+++ b/bamboostream/src/Streams/token_sequencer.h
@@ -6,52 +6,53 @@
 
 namespace bamboostream {
 
-/// What to do with an event from a backend server.
-enum class token_verdict : std::uint8_t {
+/// How a relay handles an event from a backend server.
+enum class token_action : std::uint8_t {
     /// The next token: deliver it.
     deliver,
-    /// The end, and every token has been delivered.
+    /// The end of the stream, after every token has been delivered.
     finish,
-    /// Of another generation: drop and count.
-    foreign,
+    /// Belongs to another generation: drop and count.
+    other_generation,
     /// Already delivered: drop and count.
-    repeated,
-    /// Tokens between the last one and this are missing: ask for them again.
+    duplicate,
+    /// Tokens before this event are missing: request them again.
     gap,
 };
 
-/// Keeps one stream in order: a token is delivered only when it belongs to the generation and is
-/// the next number. Whatever a backend server or link does (late, doubled, foreign, missing
-/// events), the caller sees the numbers 0, 1, 2, … of one generation.
+/// Enforces the order of one stream: a token is delivered only if it belongs to the generation and
+/// has the next sequence number. Even if a backend server or connection delays, duplicates, drops
+/// or mixes up events, the caller receives the sequence numbers 0, 1, 2, … of a single generation.
 ///
-/// Example: `if (sequencer.judge(id, n, false) == token_verdict::deliver) write(text);`
+/// Example: `if (sequencer.evaluate(id, n, false) == token_action::deliver) write(text);`
 class token_sequencer {
 public:
-    /// `next` is the first number wanted.
+    /// `next` is the first sequence number to deliver.
     token_sequencer(std::string generation, std::uint64_t next)
         : generation_(std::move(generation)), next_(next) {}
 
-    /// Judges a token, or the end of the stream when `final` (whose number is the count of tokens).
-    /// A delivered token advances the stream.
-    token_verdict judge(std::string_view generation, std::uint64_t number, bool final) {
+    /// Evaluates a token or, if `final`, the end of the stream, whose sequence number is the count
+    /// of tokens. Advances the stream when the token is to be delivered.
+    token_action evaluate(std::string_view generation, std::uint64_t sequence, bool final) {
         if (generation != generation_) {
-            return token_verdict::foreign;
+            return token_action::other_generation;
         }
-        if (number < next_) {
-            // An end that names fewer tokens than were delivered can't be of this generation's run.
-            return token_verdict::repeated;
+        if (sequence < next_) {
+            // The end of a stream with fewer tokens than were delivered can't belong to this run of
+            // the generation.
+            return token_action::duplicate;
         }
-        if (number > next_) {
-            return token_verdict::gap;
+        if (sequence > next_) {
+            return token_action::gap;
         }
         if (final) {
-            return token_verdict::finish;
+            return token_action::finish;
         }
         ++next_;
-        return token_verdict::deliver;
+        return token_action::deliver;
     }
 
-    /// The number of the next token, which is also how many have been delivered since 0.
+    /// Sequence number of the next token, which equals the number of tokens delivered since 0.
     std::uint64_t next() const { return next_; }
     const std::string& generation() const { return generation_; }
 
--- a/bamboostream/src/Streams/token_stream.h
+++ b/bamboostream/src/Streams/token_stream.h
@@ -10,33 +10,35 @@
 
 namespace bamboostream {
 
-/// How a request ended, as its caller is told.
+/// How a request ended, as reported to its caller.
 enum class outcome : std::uint8_t {
-    /// The whole answer was delivered.
+    /// The complete response was delivered.
     completed,
-    /// Nothing was run; safe to ask again with any key.
+    /// The request was not executed; retrying with any key is safe.
     not_run,
-    /// The engine was lost; the tokens delivered are right but not all.
+    /// The engine was lost. The tokens delivered are correct, but some are missing.
     incomplete,
-    /// It can't be known whether the call ran.
+    /// It is unknown whether the call was executed.
     unknown,
 };
+/// Name of an outcome on the wire and in log lines.
 std::string_view to_string(outcome o);
 
-/// Where the tokens of one request go: to a caller as server-sent events, or into a buffer for a
-/// whole answer.
+/// Receives the tokens of one request. Implementations send them to the caller as server-sent
+/// events or buffer them for a single response.
 class token_sink {
 public:
     virtual ~token_sink() = default;
-    /// A token of the generation behind `handle`. The first token of a generation starts it: its
-    /// handle reaches the caller before the token does.
-    virtual boost::asio::awaitable<bool> token(const issued_handle& handle, std::uint64_t number,
+    /// Writes a token of the generation identified by `handle`. For the first token of a
+    /// generation, the handle is sent to the caller before the token. Returns false if the caller
+    /// has gone.
+    virtual boost::asio::awaitable<bool> token(const issued_handle& handle, std::uint64_t sequence,
                                                std::string_view text) = 0;
-    /// The caller can't be reached any more.
+    /// Whether the caller has disconnected.
     virtual bool caller_gone() const = 0;
 };
 
-/// Emits the tokens of one generation into a sink. It can only be made from an issued handle.
+/// Emits the tokens of one generation into a sink. Can only be constructed from an issued handle.
 class token_stream {
 public:
     template <class Handle>
@@ -45,8 +47,8 @@
                       "A_TOKEN_MUST_NOT_BE_EMITTED_BEFORE_ITS_RESUME_HANDLE_WAS_ISSUED");
     }
 
-    boost::asio::awaitable<bool> token(std::uint64_t number, std::string_view text) {
-        return sink_.token(handle_, number, text);
+    boost::asio::awaitable<bool> token(std::uint64_t sequence, std::string_view text) {
+        return sink_.token(handle_, sequence, text);
     }
     bool caller_gone() const { return sink_.caller_gone(); }
 
--- a/test/ledger_test.cpp
+++ b/test/ledger_test.cpp
@@ -1,5 +1,5 @@
-// The rule of the ledger, checked over all interleavings of claimants with lost appends, pauses and
-// deaths, on the table that instances use.
+// Checks on the production `claim_table` that no call is dispatched twice, for every interleaving
+// of claimants with lost and late appends, pauses and crashes, up to a bounded depth.
 
 #include "bamboostream/Ledger"
 
@@ -23,8 +23,8 @@
     return e;
 }
 
-/// The world of the check: one log, and claimants that read it as far as they have come.
-struct world {
+/// The shared state of the model: one log and the number of dispatches.
+struct log_model {
     std::vector<log_record> log;
     int dispatches = 0;
 
@@ -33,30 +33,37 @@
     }
 };
 
-/// Steps a claimant can take; which ones are open depends on where it stands.
+/// A claimant with its own reading position in the log. Its stage determines the possible steps.
 struct claimant {
     std::string name;
     claim_table table;
     std::size_t read = 0;
-    enum class stage : std::uint8_t { fresh, appended, append_unknown, gave_up, dispatched, dead };
+    enum class stage : std::uint8_t {
+        fresh,
+        appended,
+        append_unknown,
+        gave_up,
+        dispatched,
+        crashed
+    };
     stage at = stage::fresh;
     bool pending_append = false;
-    bool told_not_run = false;
+    bool reported_not_run = false;
 
-    void read_all(const world& w) {
+    void read_all(const log_model& w) {
         while (read < w.log.size()) {
             table.apply(w.log[read++]);
         }
     }
 };
 
-/// Every kind of step; a claimant for which it isn't possible refuses it.
+/// Number of step kinds in `take_step`, which returns false for a step that is not possible.
 constexpr int step_kinds = 7;
 
-bool take_step(world& w, claimant& c, int kind) {
+bool take_step(log_model& w, claimant& c, int kind) {
     using stage = claimant::stage;
     switch (kind) {
-    case 0: // Appends its claim, unless it already sees one that stands.
+    case 0: // Appends its claim, unless it already sees a valid one.
         if (c.at != stage::fresh) {
             return false;
         }
@@ -67,21 +74,21 @@
         w.append(entry(ledger_kind::claim, c.name));
         c.at = stage::appended;
         return true;
-    case 1: // Its append takes effect later, or never: the answer was lost.
+    case 1: // Appends its claim but loses the response: the append takes effect later or never.
         if (c.at != stage::fresh) {
             return false;
         }
         c.pending_append = true;
         c.at = stage::append_unknown;
         return true;
-    case 2: // A lost append takes effect, late.
+    case 2: // The append whose response was lost takes effect late.
         if (!c.pending_append) {
             return false;
         }
         c.pending_append = false;
         w.append(entry(ledger_kind::claim, c.name));
         return true;
-    case 3: // Reads the log and dispatches when it has won, however long it paused before.
+    case 3: // Reads the log and dispatches if it has won, after a pause of any length.
         if (c.at != stage::appended && c.at != stage::append_unknown) {
             return false;
         }
@@ -92,25 +99,25 @@
         ++w.dispatches;
         c.at = stage::dispatched;
         return true;
-    case 4: // Gives up without having dispatched, and says so on the log.
+    case 4: // Gives up before dispatching and voids its claim on the log.
         if (c.at != stage::appended && c.at != stage::append_unknown) {
             return false;
         }
         w.append(entry(ledger_kind::void_claim, c.name));
         c.at = stage::gave_up;
-        c.told_not_run = true;
+        c.reported_not_run = true;
         return true;
-    case 5: // Writes the outcome.
+    case 5: // Appends the outcome.
         if (c.at != stage::dispatched) {
             return false;
         }
         w.append(entry(ledger_kind::outcome, c.name));
         return true;
-    case 6: // Dies.
-        if (c.at == stage::dead) {
+    case 6: // Crashes.
+        if (c.at == stage::crashed) {
             return false;
         }
-        c.at = stage::dead;
+        c.at = stage::crashed;
         return true;
     default:
         return false;
@@ -125,31 +132,31 @@
     }
 };
 
-std::uint64_t explore(const world& w, const std::vector<claimant>& claimants, int depth,
+std::uint64_t explore(const log_model& w, const std::vector<claimant>& claimants, int depth,
                       std::uint64_t& states) {
     ++states;
     if (w.dispatches > 1 || depth == 0) {
         return w.dispatches > 1 ? 1 : 0;
     }
-    std::uint64_t broken = 0;
+    std::uint64_t violations = 0;
     for (std::size_t i = 0; i < claimants.size(); ++i) {
         for (int kind = 0; kind < step_kinds; ++kind) {
-            world next_world = w;
+            log_model next_world = w;
             std::vector<claimant> next = claimants;
             if (take_step(next_world, next[i], kind)) {
-                broken += explore(next_world, next, depth - 1, states);
+                violations += explore(next_world, next, depth - 1, states);
             }
         }
     }
-    return broken;
+    return violations;
 }
 
 class interleaving_test : public testing::TestWithParam<check_size> {};
 
-// In no order of claims, lost and late appends, voids, outcomes, pauses and deaths is the call sent
-// twice.
+// The call is dispatched at most once for every order of claims, lost and late appends, voids,
+// outcomes, pauses and crashes.
 TEST_P(interleaving_test, at_most_one_dispatch) {
-    world w;
+    log_model w;
     std::vector<claimant> claimants(static_cast<std::size_t>(GetParam().claimants));
     for (std::size_t i = 0; i < claimants.size(); ++i) {
         claimants[i].name = std::string(1, static_cast<char>('a' + i));
@@ -166,7 +173,7 @@
                          });
 
 TEST(claim_table_test, outcome_is_the_same_for_every_reader) {
-    world w;
+    log_model w;
     w.append(entry(ledger_kind::claim, "a"));
     w.append(entry(ledger_kind::claim, "b"));
     w.append(entry(ledger_kind::outcome, "a"));
@@ -183,7 +190,7 @@
 }
 
 TEST(claim_table_test, void_before_its_late_claim_keeps_it_void) {
-    world w;
+    log_model w;
     w.append(entry(ledger_kind::void_claim, "a"));
     w.append(entry(ledger_kind::claim, "a"));
     w.append(entry(ledger_kind::claim, "b"));
--- a/test/placement_test.cpp
+++ b/test/placement_test.cpp
@@ -13,7 +13,8 @@
     return {offset, time, lease_table::acquire_record("p", who)};
 }
 
-// Two instances both believe in the lease: the log's order and times decide, for every reader.
+// Two instances both believe that they hold the lease. The order and timestamps of the log decide,
+// identically for every reader.
 TEST(lease_table_test, first_holds_until_it_lapses_and_fencing_rises) {
     lease_table table(milliseconds(1'000));
     table.apply(acquire(0, 100, a));
@@ -27,7 +28,7 @@
     table.apply(acquire(4, 1'950, b));
     EXPECT_TRUE(table.held_by("p", b));
     EXPECT_EQ(table.find("p")->fencing, 4);
-    // The old holder wakes and renews as if nothing had happened.
+    // The previous holder continues after a pause and tries to renew its expired lease.
     table.apply(acquire(5, 2'000, a));
     EXPECT_TRUE(table.held_by("p", b));
 }
@@ -58,7 +59,7 @@
     return e;
 }
 
-pool_settings wanted(std::uint32_t least_serving) {
+pool_settings desired(std::uint32_t least_serving) {
     pool_settings out;
     out.model = "m";
     out.version = "2";
@@ -85,7 +86,7 @@
 
 TEST_P(plan_test, next_order_keeps_capacity_and_pace) {
     const plan_case& c = GetParam();
-    const auto planned = plan_next_order(wanted(c.least_serving), c.engines, {}, c.last_load, now);
+    const auto planned = plan_next_order(desired(c.least_serving), c.engines, {}, c.last_load, now);
     EXPECT_EQ(planned ? planned->engine.text() : "", c.expected);
 }
 
--- a/test/streams_test.cpp
+++ b/test/streams_test.cpp
@@ -27,7 +27,7 @@
     const auto opened = signer().verify(issued->text(), owner, now, why);
     ASSERT_TRUE(opened.has_value()) << why.text;
     EXPECT_EQ(opened->generation.text(), "abc");
-    // Signed before the rotation, still accepted after it.
+    // A handle signed before the key rotation is still accepted after it.
     const handle_signer before({{"k1", "old-secret-old-secret", true}});
     EXPECT_TRUE(signer().verify(before.issue(content())->text(), owner, now, why).has_value());
     EXPECT_FALSE(handle_signer({}).issue(content()).has_value());
@@ -99,8 +99,9 @@
     }));
 }
 
-// Over all sequences of five events out of tokens, ends and foreign ones, what is delivered is
-// 0, 1, 2, … and an end is accepted only after all tokens before it.
+// For every sequence of six events, drawn from tokens, ends of stream and events of another
+// generation: the delivered sequence numbers are 0, 1, 2, …, and an end of stream is accepted only
+// after all tokens before it.
 TEST(token_sequencer_test, exhaustive_over_short_sequences) {
     constexpr int kinds = 9;
     constexpr int length = 6;
@@ -118,12 +119,12 @@
             const bool foreign = kind >= 8;
             const bool final = kind >= 4 && !foreign;
             const auto number = static_cast<std::uint64_t>(kind % 4);
-            const token_verdict verdict = sequencer.judge(foreign ? "other" : "g", number, final);
-            if (verdict == token_verdict::deliver) {
+            const token_action action = sequencer.evaluate(foreign ? "other" : "g", number, final);
+            if (action == token_action::deliver) {
                 ASSERT_EQ(number, delivered);
                 ASSERT_FALSE(final || foreign);
                 ++delivered;
-            } else if (verdict == token_verdict::finish) {
+            } else if (action == token_action::finish) {
                 ASSERT_TRUE(final);
                 ASSERT_EQ(number, delivered);
             }
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -47,7 +47,7 @@
      "std::max(stream.expected_output_tokens - stream.output_tokens, stream.output_tokens / 2);",
      "std::max<std::int64_t>(stream.expected_output_tokens - stream.output_tokens, 0);"),
     ("work told at once", "Forwarding/forwarded_call.cpp",
-     "if (matters && state_.on_generation_change) {", "if (false && matters) {"),
+     "if (must_notify && state_.on_generation_change) {", "if (false && must_notify) {"),
     ("placement: memory", "Routing/backend_picker.cpp",
      "out += static_cast<double>(work.memory_tokens) /",
      "out += 0.0 * static_cast<double>(work.memory_tokens) /"),
@@ -74,8 +74,8 @@
     ("removals that readers conclude", "Gateway/change_follower.h",
      "return next >= position_;", "return next > position_ && next < 0;"),
     ("further sends", "Forwarding/attempt_policy.cpp",
-     "return repeats != repeat_rule::once || (nothing_ran && !history.may_have_run);",
-     "return nothing_ran && !history.may_have_run;"),
+     "return repeats != repeat_rule::once || (not_executed && !history.may_have_run);",
+     "return not_executed && !history.may_have_run;"),
 ]
 
 
