--- a/bamboostream/src/Forwarding/forward_request.h
+++ b/bamboostream/src/Forwarding/forward_request.h
@@ -37,7 +37,7 @@
 
 /// The request properties that are set anew for each attempt at a backend server.
 struct attempt_parameters {
-    backend_id expected;
+    backend_id expected_backend;
     std::string address;
     /// Nothing if requests carry no keys.
     std::optional<workspace_id> workspace;
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -145,7 +145,7 @@
         co_return skip_backend(to);
     }
     attempt_parameters send;
-    send.expected = to.backend.id;
+    send.expected_backend = to.backend.id;
     send.address = to.backend.address;
     send.workspace = workspace_;
     send.time_left = std::chrono::duration_cast<milliseconds>(deadline_ - now);
