--- a/bamboostream/src/Forwarding/engine_choice.cpp
+++ b/bamboostream/src/Forwarding/engine_choice.cpp
@@ -36,14 +36,14 @@
     wanted.server_memory_tokens = request.engine_memory_tokens;
     const admission_request admission_terms{request.work, request.engine_memory_tokens,
                                             request.priority, request.objective};
-    const auto verdict_for = [&](const registered_backend& engine) {
+    const auto check_engine = [&](const registered_backend& engine) {
         return judge_admission(state.admission, admission_terms, state.loads.total(engine.id, now),
                                state.prefill.tokens_a_ms(request.service, work_key(engine.id)));
     };
     const auto engines = servers_with_capacity(state, request.service, role, now);
     std::vector<const registered_backend*> admitting = engines;
     std::erase_if(admitting, [&](const registered_backend* engine) {
-        return verdict_for(*engine) != admission_verdict::admit;
+        return check_engine(*engine) != admission_verdict::admit;
     });
     if (const auto* chosen = state.picker.pick(admitting, state.loads, wanted, now)) {
         record_send(state, *chosen, now);
@@ -54,7 +54,7 @@
     if (least_loaded == nullptr) {
         return {};
     }
-    return {*least_loaded, verdict_for(*least_loaded), state.loads.total(least_loaded->id, now),
+    return {*least_loaded, check_engine(*least_loaded), state.loads.total(least_loaded->id, now),
             state.overloads[request.service].note_refusal(now)};
 }
 
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -135,7 +135,7 @@
     return std::nullopt;
 }
 
-duration forwarded_call::retry_delay(refusal_cause cause) const {
+duration forwarded_call::retry_after_delay(refusal_cause cause) const {
     refused_request about{cause, route_ ? route_->objective : duration{}, request_.caller_timeout,
                           overload_duration_};
     if (cause == refusal_cause::quarantined) {
@@ -144,8 +144,8 @@
     return come_back_after(about, state_.random);
 }
 
-/// While the store is unavailable, servers that can't be reached are those that have ended since, so
-/// the cause is missing information and not overload.
+/// While the store is unavailable, servers that can't be reached are those that have ended since,
+/// so the cause is missing information and not overload.
 refusal_cause forwarded_call::not_run_cause() const {
     if (digest_ && state_.quarantine.holds(*digest_)) {
         return refusal_cause::quarantined;
@@ -158,7 +158,7 @@
 asio::awaitable<void> forwarded_call::reject(rejection why) {
     std::vector<http_field> fields;
     if (why.not_run) {
-        fields.push_back(retry_after_field(retry_delay(*why.not_run)));
+        fields.push_back(retry_after_field(retry_after_delay(*why.not_run)));
     }
     state_.counters.count(forward_result::rejected);
     log_event(events::request_refused, "request={} reason={} status={} configuration_version={}{}",
@@ -362,8 +362,8 @@
                                    failure_->fields);
     } else if (response == final_response::not_run) {
         result = forward_result::not_run;
-        const http_field retry_after = retry_after_field(retry_delay(not_run_cause()));
-        co_await exchange_.respond_json(503, error_body("not_run"), {&retry_after, 1});
+        const http_field retry_after_header = retry_after_field(retry_after_delay(not_run_cause()));
+        co_await exchange_.respond_json(503, error_body("not_run"), {&retry_after_header, 1});
     } else if (response == final_response::timed_out) {
         result = forward_result::timed_out;
         co_await exchange_.respond_json(504, error_body("timed_out"));
--- a/bamboostream/src/Forwarding/forwarded_call.h
+++ b/bamboostream/src/Forwarding/forwarded_call.h
@@ -63,7 +63,7 @@
     boost::asio::awaitable<std::optional<rejection>> prepare_with_newest_configuration();
     std::optional<rejection> find_workspace();
     boost::asio::awaitable<void> reject(rejection why);
-    duration retry_delay(refusal_cause cause) const;
+    duration retry_after_delay(refusal_cause cause) const;
     refusal_cause not_run_cause() const;
     boost::asio::awaitable<std::optional<destination>> choose();
     boost::asio::awaitable<std::optional<destination>> choose_engine_for_generation();
--- a/tools/prove.sh
+++ b/tools/prove.sh
@@ -139,7 +139,7 @@
 prove cold_new_instance $s/Limits/cold_start_limit.cpp 'if (!first_noted_ || now - *first_noted_ < settling_time) {' 'if (!first_noted_) {' 'cold_start_play|cold_start_limit_test'
 prove late_start_refused $s/Limits/engine_admission.cpp 'if (work.unread_tokens > 0 && request.objective > duration{} &&' 'if (false &&' 'admission'
 prove memory_claims $s/Limits/engine_admission.cpp 'if (work.requests > 0 && claimed' 'if (false && claimed' 'admission'
-prove any_engine_that_admits $s/Forwarding/engine_choice.cpp 'return verdict_for(*engine) != admission_verdict::admit;' 'return false;' 'one_that_admits|admission_load'
+prove any_engine_that_admits $s/Forwarding/engine_choice.cpp 'return check_engine(*engine) != admission_verdict::admit;' 'return false;' 'one_that_admits|admission_load'
 prove return_after_overload $s/Limits/come_back.cpp 'if (request.overload <= moment || !request.patience) {' 'if (true) {' 'return_time'
 prove reading_learned $s/Routing/reading_rates.cpp 'add(services_[service], sample, service_memory_tokens);' '' 'reading_rate'
 prove reading_told $s/Gateway/peer_frames.cpp 'if (entry.reading_ms > 0) {' 'if (false) {' 'reading_is_told'
