--- a/bamboostream/src/Forwarding/engine_choice.h
+++ b/bamboostream/src/Forwarding/engine_choice.h
@@ -35,8 +35,8 @@
 struct engine_choice {
     /// Nothing if no engine is available.
     std::optional<registered_backend> engine;
-    admission_verdict verdict = admission_verdict::admit;
-    /// The engine's work on which `verdict` is based.
+    admission_verdict result = admission_verdict::admit;
+    /// The engine's work on which `result` is based.
     backend_work work;
     /// If not admitted: how long generations of the service have been refused.
     duration overload{};
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -242,7 +242,7 @@
     if (!choice->engine) {
         co_return std::nullopt;
     }
-    if (choice->verdict != admission_verdict::admit) {
+    if (choice->result != admission_verdict::admit) {
         admission_refused_ = true;
         overload_duration_ = choice->overload;
         log_admission_refusal(*choice);
@@ -255,7 +255,7 @@
     log_event(events::request_refused,
               "request={} reason={} route={} backend={} memory_tokens={} unread_tokens={} of={}",
               request_.id,
-              choice.verdict == admission_verdict::memory_full ? "memory_full" : "prompts_queued",
+              choice.result == admission_verdict::memory_full ? "memory_full" : "prompts_queued",
               route_->name, choice.engine->id.text(), choice.work.memory_tokens,
               choice.work.unread_tokens, service_->engine->memory_tokens);
 }
--- a/bamboostream/src/Gateway/peer_frames.cpp
+++ b/bamboostream/src/Gateway/peer_frames.cpp
@@ -135,9 +135,9 @@
 
 wire::AdmitReplyT to_wire(const engine_choice& choice) {
     wire::AdmitReplyT out;
-    out.granted = choice.engine && choice.verdict == admission_verdict::admit;
+    out.granted = choice.engine && choice.result == admission_verdict::admit;
     out.backend = choice.engine ? choice.engine->id.text() : std::string();
-    out.reason = static_cast<std::uint8_t>(choice.verdict);
+    out.reason = static_cast<std::uint8_t>(choice.result);
     out.requests = tokens_on_wire(choice.work.requests);
     out.memory_tokens = tokens_on_wire(choice.work.memory_tokens);
     out.unread_tokens = tokens_on_wire(choice.work.unread_tokens);
--- a/test/platform/admission_test.cpp
+++ b/test/platform/admission_test.cpp
@@ -20,7 +20,7 @@
     std::string name;
     backend_work work;
     int priority;
-    admission_verdict verdict;
+    admission_verdict result;
 };
 
 class admission : public testing::TestWithParam<admission_row> {
@@ -48,7 +48,7 @@
 // What is sent where its first event comes late keeps the engine from serving others in time.
 TEST_P(admission, turns_away_what_would_be_late) {
     EXPECT_EQ(judge_admission({}, request(GetParam().priority), GetParam().work, tokens_a_ms),
-              GetParam().verdict);
+              GetParam().result);
 }
 
 // A request that is larger than the limits allow beside others goes where nothing else runs: it
@@ -78,9 +78,9 @@
     const engine_choice choice = choose_engine(state, request, sender_role::owner, start);
     ASSERT_TRUE(choice.engine);
     EXPECT_EQ(choice.engine->id, backend_id("queued"));
-    EXPECT_EQ(choice.verdict, admission_verdict::admit);
+    EXPECT_EQ(choice.result, admission_verdict::admit);
     state.loads.add(backend_id("queued"), {1, 3'000, 3'000});
-    EXPECT_NE(choose_engine(state, request, sender_role::owner, start).verdict,
+    EXPECT_NE(choose_engine(state, request, sender_role::owner, start).result,
               admission_verdict::admit);
 }
 
--- a/tools/prove.sh
+++ b/tools/prove.sh
@@ -97,7 +97,7 @@
 prove old_notice $s/Forwarding/forwarded_attempt.cpp 'if (!may_follow_move(notice, monotonic_now())) {' 'if (false) {' 'old_move'
 prove late_tellings $s/Gateway/telling_delay.cpp 'return difference - std::min(d.least, d.least_before.value_or(d.least));' 'return milliseconds{0};' 'telling_delay_test'
 prove two_relays $s/Gateway/store_news.cpp 'first ? candidates.front() : candidates.back()' 'candidates.front()' 'lost_relay'
-prove choice_counted_at_once $s/Gateway/pool_owner.cpp 'if (choice.engine && choice.verdict == admission_verdict::admit) {' 'if (false) {' 'counts_each_choice_at_once'
+prove choice_counted_at_once $s/Gateway/pool_owner.cpp 'if (choice.engine && choice.result == admission_verdict::admit) {' 'if (false) {' 'counts_each_choice_at_once'
 prove deputy $s/Gateway/pool_owner.cpp 'owners_a_service = 2' 'owners_a_service = 1' 'the_deputy_answers'
 prove silent_owner $s/Gateway/pool_owner.cpp 'silent_until_[owner] = now + passed_over_for;' '' 'the_deputy_answers'
 prove leaving_engine_of_owner $s/Gateway/pool_owner.cpp 'engine == nullptr || !forwarding_.registry.takes_work(engine->id)' 'engine == nullptr' 'known_to_leave_is_not_taken'
