--- a/bamboostream/src/Evacuation/evacuation_service.cpp
+++ b/bamboostream/src/Evacuation/evacuation_service.cpp
@@ -66,8 +66,8 @@
 }
 
 asio::awaitable<void> evacuation_service::poll_engine(registered_backend backend) {
-    const auto leaves = co_await mover_.leaves(backend.address, engine_poll_timeout);
-    if (leaves.value_or(false)) {
+    const auto is_leaving = co_await mover_.is_leaving(backend.address, engine_poll_timeout);
+    if (is_leaving.value_or(false)) {
         state_.registry.mark_leaving(backend.id);
         if (state_.on_registry_change) {
             state_.on_registry_change();
@@ -133,7 +133,7 @@
     }
     const time_point now = monotonic_now();
     for (const registered_backend* backend :
-         servers_with_room(state_, service, own_role(state_, service), now)) {
+         servers_with_capacity(state_, service, own_role(state_, service), now)) {
         if (!busy_targets_.contains(backend->id)) {
             out.push_back({*backend, state_.loads.total(backend->id, now),
                            rule->engine->memory_tokens, rule->engine->slots});
@@ -217,7 +217,7 @@
               candidate.instance.empty() ? "here" : candidate.instance,
               candidate.generation.memory_tokens);
     if (const registered_backend* target = state_.registry.find(notice.target)) {
-        note_send(state_, *target, monotonic_now());
+        record_send(state_, *target, monotonic_now());
     }
     if (candidate.instance.empty()) {
         state_.streams.notify(candidate.generation.id, notice, monotonic_now());
--- a/bamboostream/src/Forwarding/engine_choice.cpp
+++ b/bamboostream/src/Forwarding/engine_choice.cpp
@@ -8,9 +8,9 @@
     return state.scheduler != nullptr ? state.scheduler->role(service) : sender_role::owner;
 }
 
-std::vector<const registered_backend*> servers_with_room(forwarding_state& state,
-                                                         const service_id& service,
-                                                         sender_role role, time_point now) {
+std::vector<const registered_backend*> servers_with_capacity(forwarding_state& state,
+                                                             const service_id& service,
+                                                             sender_role role, time_point now) {
     auto servers = state.registry.usable(service);
     const service_rule* rule = state.routes ? state.routes->find_service(service) : nullptr;
     if (rule != nullptr) {
@@ -22,7 +22,7 @@
     return servers;
 }
 
-void note_send(forwarding_state& state, const registered_backend& server, time_point now) {
+void record_send(forwarding_state& state, const registered_backend& server, time_point now) {
     if (now < server.slow_until) {
         state.cold_starts.note(server.id, now);
     }
@@ -34,27 +34,27 @@
     wanted.avoid = request.avoid;
     wanted.near = request.near;
     wanted.server_memory_tokens = request.engine_memory_tokens;
-    const admission_request asked{request.work, request.engine_memory_tokens, request.priority,
-                                  request.objective};
-    const auto verdict_at = [&](const registered_backend& engine) {
-        return judge_admission(state.admission, asked, state.loads.total(engine.id, now),
-                               state.reading.tokens_a_ms(request.service, work_key(engine.id)));
+    const admission_request admission_terms{request.work, request.engine_memory_tokens,
+                                            request.priority, request.objective};
+    const auto check_engine = [&](const registered_backend& engine) {
+        return judge_admission(state.admission, admission_terms, state.loads.total(engine.id, now),
+                               state.prefill.tokens_a_ms(request.service, work_key(engine.id)));
     };
-    const auto engines = servers_with_room(state, request.service, role, now);
-    std::vector<const registered_backend*> open = engines;
-    std::erase_if(open, [&](const registered_backend* engine) {
-        return verdict_at(*engine) != admission_verdict::admit;
+    const auto engines = servers_with_capacity(state, request.service, role, now);
+    std::vector<const registered_backend*> admitting = engines;
+    std::erase_if(admitting, [&](const registered_backend* engine) {
+        return check_engine(*engine) != admission_verdict::admit;
     });
-    if (const auto* chosen = state.picker.pick(open, state.loads, wanted, now)) {
-        note_send(state, *chosen, now);
+    if (const auto* chosen = state.picker.pick(admitting, state.loads, wanted, now)) {
+        record_send(state, *chosen, now);
         return {*chosen, admission_verdict::admit, state.loads.total(chosen->id, now), {}};
     }
-    // Of the engines that have no room, the least loaded says why.
-    const registered_backend* best = state.picker.pick(engines, state.loads, wanted, now);
-    if (best == nullptr) {
+    // No engine admits the request: the least loaded one gives the reason and the load to report.
+    const registered_backend* least_loaded = state.picker.pick(engines, state.loads, wanted, now);
+    if (least_loaded == nullptr) {
         return {};
     }
-    return {*best, verdict_at(*best), state.loads.total(best->id, now),
+    return {*least_loaded, check_engine(*least_loaded), state.loads.total(least_loaded->id, now),
             state.overloads[request.service].note_refusal(now)};
 }
 
--- a/bamboostream/src/Gateway/deployment_state.h
+++ b/bamboostream/src/Gateway/deployment_state.h
@@ -58,7 +58,7 @@
                               document_listener on_result = {});
     /// Sets the newest version that is known to be in force on some instance.
     void set_announced_configuration(std::int64_t version) {
-        forwarding_.told_configuration = version;
+        forwarding_.announced_configuration = version;
     }
     /// Applies records of a topic. `all` means that they are the newest of every key.
     void apply_records(record_topic topic, std::span<const keyed_record> records, bool all,
--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -175,7 +175,7 @@
             forwarding.picker.forget(change.backend.id);
         }
         if (change.event == registry_event::gone || change.event == registry_event::restarted) {
-            forwarding.reading.forget(work_key(change.backend.id));
+            forwarding.prefill.forget(work_key(change.backend.id));
         }
     });
     forwarding.on_generation_change = [this] { peers->on_load_change(); };
@@ -317,7 +317,7 @@
 
 asio::awaitable<void> gateway::parts::handle_metrics(http_exchange& exchange) const {
     const gateway_stats stats{state.version(),
-                              forwarding.told_configuration,
+                              forwarding.announced_configuration,
                               state.rejected_documents(),
                               distributor->provider().encoded(),
                               distributor->fetcher().pieces(),
@@ -370,7 +370,7 @@
     const time_point directory_expired_at =
         began_at + max_cache_factor * settings.directory_validity;
     const time_point end = began_at + settings.grace - grace_margin;
-    forwarding.ends_at = end;
+    forwarding.shutdown_deadline = end;
     while (monotonic_now() < end &&
            (forwarding.counters.open > 0 || monotonic_now() < directory_expired_at)) {
         co_await pause_for(drain_poll_period);
--- a/bamboostream/src/Gateway/owner_scheduler.cpp
+++ b/bamboostream/src/Gateway/owner_scheduler.cpp
@@ -57,7 +57,7 @@
         if (engine != nullptr) {
             const std::size_t group = forwarding_.registry.usable(engine->service).size();
             forwarding_.picker.note(engine->id, reported.succeeded, reported.failed, group, now);
-            forwarding_.reading.note(engine->service, reported.backend,
+            forwarding_.prefill.note(engine->service, reported.backend,
                                      {static_cast<double>(reported.tokens_read),
                                       static_cast<double>(reported.reading_ms)});
         }
@@ -88,7 +88,7 @@
             std::erase_if(unresponsive_until_,
                           [now](const auto& item) { return now >= item.second; });
             unresponsive_until_[owner] = now + silent_owner_pause;
-            ++forwarding_.counters.owners_silent;
+            ++forwarding_.counters.owner_timeouts;
             continue;
         }
         const wire::AdmitReplyT& answer = *reply->message.AsAdmitReply();
@@ -136,7 +136,7 @@
     }
     wanted.engine_memory_tokens = service->engine->memory_tokens;
     const engine_choice choice = choose_engine(forwarding_, wanted, role(wanted.service), now);
-    if (choice.engine && choice.verdict == admission_verdict::admit) {
+    if (choice.engine && choice.result == admission_verdict::admit) {
         forwarding_.loads.expect(sender, {work_key(choice.engine->id), wanted.work}, now);
     }
     return make_reply(to_wire(choice));
--- a/bamboostream/src/Streams/resume_handle.cpp
+++ b/bamboostream/src/Streams/resume_handle.cpp
@@ -13,7 +13,7 @@
 
 constexpr char separator = '\x1f';
 constexpr std::size_t field_count = 5;
-constexpr std::size_t longest_handle = 1024;
+constexpr std::size_t max_handle_bytes = 1024;
 
 std::vector<std::string> split(std::string_view payload) {
     std::vector<std::string> fields;
@@ -49,10 +49,10 @@
     return issued_handle(std::move(content), std::move(text));
 }
 
-std::optional<resume_handle> handle_signer::open(std::string_view text, const workspace_id& owner,
-                                                 wall_time now, handle_failure& why) const {
+std::optional<resume_handle> handle_signer::verify(std::string_view text, const workspace_id& owner,
+                                                   wall_time now, handle_failure& why) const {
     const std::size_t dot = text.find('.');
-    if (dot == std::string_view::npos || text.size() > longest_handle) {
+    if (dot == std::string_view::npos || text.size() > max_handle_bytes) {
         why.set(handle_error::malformed, "not a resume handle");
         return std::nullopt;
     }
@@ -81,7 +81,7 @@
         return std::nullopt;
     }
     if (handle.workspace != owner) {
-        why.set(handle_error::foreign, "the handle belongs to another workspace");
+        why.set(handle_error::wrong_workspace, "the handle belongs to another workspace");
         return std::nullopt;
     }
     return handle;
@@ -90,7 +90,7 @@
 std::optional<issued_handle> handle_signer::reissue(std::string_view text,
                                                     const workspace_id& owner, wall_time now,
                                                     handle_failure& why) const {
-    auto content = open(text, owner, now, why);
+    auto content = verify(text, owner, now, why);
     if (!content) {
         return std::nullopt;
     }
--- a/test/platform/admission_load_test.cpp
+++ b/test/platform/admission_load_test.cpp
@@ -129,7 +129,7 @@
         request.objective = g.kind->objective;
         request.near = failure_domain_id("norra");
         const engine_choice choice = choose_engine(state_, request, sender_role::owner, now_);
-        if (choice.verdict == admission_verdict::admit) {
+        if (choice.result == admission_verdict::admit) {
             g.at = choice.engine->id;
             g.sent = now_;
             g.queued = choice.work;
@@ -154,7 +154,7 @@
     void note_reading(const generation& g, time_point first) {
         const std::int64_t claimed = g.queued.memory_tokens + g.job.prompt_tokens + g.expected;
         if (claimed <= memory_tokens) {
-            state_.reading.note(service_id("s"), work_key(g.at),
+            state_.prefill.note(service_id("s"), work_key(g.at),
                                 {static_cast<double>(g.queued.unread_tokens + g.job.prompt_tokens),
                                  to_milliseconds(first - g.sent)});
         }
