--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -72,7 +72,7 @@
     request_ = std::move(*request);
     request_.expected_output_tokens = likely_output_tokens(request_);
     if (!routes_) {
-        return rejection{503, "not_ready", refusal_cause::nothing_known};
+        return rejection{503, "not_ready", refusal_cause::state_unknown};
     }
     route_ = routes_->find_route(request_.host, exchange_.request().path);
     if (route_ == nullptr) {
@@ -84,7 +84,7 @@
     const service_id* service = draw_service(*route_, state_.random);
     service_ = service ? routes_->find_service(*service) : nullptr;
     if (service_ == nullptr) {
-        return rejection{503, "no_service", refusal_cause::nothing_known};
+        return rejection{503, "no_service", refusal_cause::state_unknown};
     }
     const milliseconds patience = request_.patience.value_or(route_->timeout);
     deadline_ = arrival_ + std::min(patience, route_->timeout);
@@ -109,7 +109,7 @@
     while (refused && refused->by_table &&
            state_.told_configuration > routes_->configuration().version) {
         if (monotonic_now() >= limit) {
-            co_return rejection{503, "configuration_late", refusal_cause::crowded};
+            co_return rejection{503, "configuration_late", refusal_cause::overloaded};
         }
         co_await pause_for(look_for_configuration);
         if (state_.routes != routes_) {
@@ -140,7 +140,7 @@
     if (cause == refusal_cause::quarantined) {
         about.quarantine = state_.quarantine.held_for(*digest_, monotonic_now());
     }
-    return come_back_after(about, state_.random);
+    return retry_delay(about, state_.random);
 }
 
 /// While the store is away, servers that can't be reached are those that have gone since.
@@ -150,7 +150,7 @@
     }
     const bool known =
         !state_.registry.store_away() && !state_.registry.usable(service_->id).empty();
-    return turned_away_ || known ? refusal_cause::crowded : refusal_cause::nothing_known;
+    return turned_away_ || known ? refusal_cause::overloaded : refusal_cause::state_unknown;
 }
 
 asio::awaitable<void> forwarded_call::reject(rejection why) {
--- a/bamboostream/src/Limits/come_back.cpp
+++ b/bamboostream/src/Limits/retry_delay.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Limits/come_back.h"
+#include "bamboostream/src/Limits/retry_delay.h"
 
 #include <algorithm>
 
@@ -35,14 +35,14 @@
 
 } // namespace
 
-duration come_back_after(const refused_request& request, std::mt19937_64& random) {
+duration retry_delay(const refused_request& request, std::mt19937_64& random) {
     if (request.cause == refusal_cause::leaving) {
         return elsewhere;
     }
     if (request.cause == refusal_cause::quarantined) {
         return request.quarantine;
     }
-    if (request.cause == refusal_cause::nothing_known && request.patience) {
+    if (request.cause == refusal_cause::state_unknown && request.patience) {
         const duration base =
             part_of(*request.patience, outage_part, least_after_outage, most_after_outage);
         return spread(base, lasting_spread, random);
--- a/bamboostream/src/Limits/come_back.h
+++ b/bamboostream/src/Limits/retry_delay.h
@@ -11,10 +11,10 @@
 /// Why a request was not run, as far as it tells when coming back makes sense.
 enum class refusal_cause : std::uint8_t {
     /// Servers are there and have no room, or refused.
-    crowded,
+    overloaded,
     /// Which routes or servers there are is not known: the platform's store is away, and this
     /// instance has started since or knows only servers that have gone.
-    nothing_known,
+    state_unknown,
     /// This instance ends; others serve.
     leaving,
     /// Servers ended under earlier attempts at the same request.
@@ -23,7 +23,7 @@
 
 /// What a refused request is about.
 struct refused_request {
-    refusal_cause cause = refusal_cause::crowded;
+    refusal_cause cause = refusal_cause::overloaded;
     /// Time in which an answer earns its full worth; zero when no route is known.
     duration objective{};
     /// How long the caller still waits; nothing when it didn't say.
@@ -41,6 +41,6 @@
 /// longer is expected to last as long again, and outages of a store last seconds: callers who
 /// return within either are refused a second time and have no answer at all. They are told a later
 /// time, at most the third of their patience that they wait.
-duration come_back_after(const refused_request& request, std::mt19937_64& random);
+duration retry_delay(const refused_request& request, std::mt19937_64& random);
 
 } // namespace bamboostream
--- a/test/platform/admission_load_test.cpp
+++ b/test/platform/admission_load_test.cpp
@@ -146,9 +146,9 @@
     void come_back(generation g, duration overload) {
         const auto left =
             std::chrono::duration_cast<milliseconds>(g.kind->patience - (now_ - g.asked));
-        const refused_request about{refusal_cause::crowded, g.kind->objective, left, overload};
+        const refused_request about{refusal_cause::overloaded, g.kind->objective, left, overload};
         g.is_back = true;
-        returns_.emplace(now_ + come_back_after(about, random_), g);
+        returns_.emplace(now_ + retry_delay(about, random_), g);
     }
 
     void note_reading(const generation& g, time_point first) {
--- a/test/come_back_test.cpp
+++ b/test/retry_delay_test.cpp
@@ -25,46 +25,47 @@
     table, return_time,
     testing::Values(
         return_row{"stream_in_a_crowd",
-                   {refusal_cause::crowded, milliseconds(1'800), milliseconds(39'000)},
+                   {refusal_cause::overloaded, milliseconds(1'800), milliseconds(39'000)},
                    900,
                    1'800},
         return_row{"call_in_a_crowd",
-                   {refusal_cause::crowded, milliseconds(100), milliseconds(600)},
+                   {refusal_cause::overloaded, milliseconds(100), milliseconds(600)},
                    100,
                    200},
         return_row{"stream_in_a_crowd_of_four_seconds",
-                   {refusal_cause::crowded, milliseconds(1'800), milliseconds(39'000),
+                   {refusal_cause::overloaded, milliseconds(1'800), milliseconds(39'000),
                     milliseconds(4'000)},
                    4'000,
                    8'000},
         return_row{"stream_in_a_crowd_of_a_minute",
-                   {refusal_cause::crowded, milliseconds(1'800), milliseconds(39'000),
+                   {refusal_cause::overloaded, milliseconds(1'800), milliseconds(39'000),
                     milliseconds(60'000)},
                    10'000,
                    13'000},
+        return_row{"label_in_a_crowd_of_four_seconds",
+                   {refusal_cause::overloaded, milliseconds(1'500), milliseconds(6'000),
+                    milliseconds(4'000)},
+                   1'538,
+                   2'000},
         return_row{
-            "label_in_a_crowd_of_four_seconds",
-            {refusal_cause::crowded, milliseconds(1'500), milliseconds(6'000), milliseconds(4'000)},
-            1'538,
-            2'000},
-        return_row{"says_no_patience_in_a_crowd_of_four_seconds",
-                   {refusal_cause::crowded, milliseconds(1'500), std::nullopt, milliseconds(4'000)},
-                   750,
-                   1'500},
+            "says_no_patience_in_a_crowd_of_four_seconds",
+            {refusal_cause::overloaded, milliseconds(1'500), std::nullopt, milliseconds(4'000)},
+            750,
+            1'500},
         return_row{"stream_in_an_outage",
-                   {refusal_cause::nothing_known, milliseconds(1'800), milliseconds(39'000)},
+                   {refusal_cause::state_unknown, milliseconds(1'800), milliseconds(39'000)},
                    5'000,
                    6'500},
         return_row{"label_in_an_outage",
-                   {refusal_cause::nothing_known, milliseconds(1'500), milliseconds(6'000)},
+                   {refusal_cause::state_unknown, milliseconds(1'500), milliseconds(6'000)},
                    1'500,
                    1'950},
         return_row{"call_in_an_outage",
-                   {refusal_cause::nothing_known, duration{}, milliseconds(1'000)},
+                   {refusal_cause::state_unknown, duration{}, milliseconds(1'000)},
                    250,
                    325},
         return_row{"says_no_patience",
-                   {refusal_cause::nothing_known, duration{}, std::nullopt},
+                   {refusal_cause::state_unknown, duration{}, std::nullopt},
                    1'000,
                    2'000},
         return_row{"instance_leaves",
@@ -81,7 +82,7 @@
     duration least = duration::max();
     duration most{};
     for (int i = 0; i < 500; ++i) {
-        const duration told = come_back_after(GetParam().request, random);
+        const duration told = retry_delay(GetParam().request, random);
         least = std::min(least, told);
         most = std::max(most, told);
     }
@@ -98,9 +99,9 @@
 TEST(return_time_bound, never_passes_what_callers_honour_in_an_outage) {
     std::mt19937_64 random(7);
     for (int patience_ms = 600; patience_ms <= 60'000; patience_ms += 300) {
-        const refused_request request{refusal_cause::nothing_known, milliseconds(500),
+        const refused_request request{refusal_cause::state_unknown, milliseconds(500),
                                       milliseconds(patience_ms)};
-        EXPECT_LE(come_back_after(request, random), milliseconds(patience_ms / honoured_part));
+        EXPECT_LE(retry_delay(request, random), milliseconds(patience_ms / honoured_part));
     }
 }
 
