--- a/bamboostream/src/Client/caller.cpp
+++ b/bamboostream/src/Client/caller.cpp
@@ -152,7 +152,7 @@
         value && value->is_object() ? value->get_object().if_contains("error") : nullptr;
     if (error != nullptr) {
         result.result = parse_outcome(text_at(*error, "outcome"));
-        result.come_back_in = milliseconds(number_at(*error, "come_back_in_ms"));
+        result.retry_after = milliseconds(number_at(*error, "come_back_in_ms"));
         result.message = text_at(*error, "code");
     } else {
         result.message = fmt::format("status {}", status);
@@ -243,7 +243,7 @@
         result.result = parse_outcome(text_at(*value, "outcome"));
         result.finish_reason = text_at(*value, "finish_reason");
         result.declared_tokens = static_cast<std::uint64_t>(number_at(*value, "tokens"));
-        result.come_back_in = milliseconds(number_at(*value, "come_back_in_ms"));
+        result.retry_after = milliseconds(number_at(*value, "come_back_in_ms"));
         result.message = text_at(*value, "message");
         state.done = true;
         return true;
@@ -307,7 +307,7 @@
         take_refusal(response->status, response->body, refusal);
         result.result = refusal.result;
         result.message = refusal.message;
-        result.come_back_in = refusal.come_back_in;
+        result.retry_after = refusal.retry_after;
         if (refusal.message == "leaving" || refusal.message == "not_ready") {
             result.ended = false;
             avoid(address);
--- a/bamboostream/src/Client/caller.h
+++ b/bamboostream/src/Client/caller.h
@@ -50,7 +50,7 @@
     std::string generation;
     std::vector<std::string> tokens;
     std::string finish_reason;
-    milliseconds come_back_in{0};
+    milliseconds retry_after{0};
     std::string message;
     std::uint64_t declared_tokens = 0;
     double first_token_ms = 0.0;
@@ -70,7 +70,7 @@
     int status = 0;
     std::string body;
     std::string message;
-    milliseconds come_back_in{0};
+    milliseconds retry_after{0};
     std::uint32_t tries = 0;
 };
 
--- a/bamboostream/src/Control/scheduling_service.cpp
+++ b/bamboostream/src/Control/scheduling_service.cpp
@@ -228,7 +228,7 @@
     decision.id = request.id;
     decision.granted = decided.granted;
     decision.backend = backend_id(decided.backend);
-    decision.come_back_in = milliseconds(decided.come_back_in_ms);
+    decision.retry_after = milliseconds(decided.come_back_in_ms);
     decision.reason = static_cast<refusal_reason>(std::min<int>(decided.reason, 3));
     co_return decision;
 }
@@ -255,7 +255,7 @@
             reply.waiting = false;
             reply.granted = decision->granted;
             reply.backend = decision->backend.text();
-            reply.come_back_in_ms = static_cast<std::uint32_t>(decision->come_back_in.count());
+            reply.come_back_in_ms = static_cast<std::uint32_t>(decision->retry_after.count());
             reply.reason = static_cast<std::uint8_t>(decision->reason);
         }
     }
--- a/bamboostream/src/Entry/completion_handler.cpp
+++ b/bamboostream/src/Entry/completion_handler.cpp
@@ -153,7 +153,7 @@
             end.result = outcome::unknown;
             end.code = "still_waiting";
             end.message = "another request with this key is still waiting for its place";
-            end.come_back_in = come_back_after_loss;
+            end.retry_after = come_back_after_loss;
             co_return false;
         }
         co_await pause_for(attach_poll);
@@ -184,7 +184,7 @@
         end.result = outcome::incomplete;
         end.code = "engine_lost";
         end.message = result.why;
-        end.come_back_in = come_back_after_loss;
+        end.retry_after = come_back_after_loss;
     }
     co_return true;
 }
@@ -219,7 +219,7 @@
     end.result = ran_ ? outcome::incomplete : outcome::not_run;
     end.code = "ends_servers";
     end.message = "several engines ended while they ran this request";
-    end.come_back_in = co_await core_.on_control([this]() -> asio::awaitable<milliseconds> {
+    end.retry_after = co_await core_.on_control([this]() -> asio::awaitable<milliseconds> {
         co_return core_.quarantine->held_for(digest());
     });
 }
@@ -267,7 +267,7 @@
             end.result = ran_ ? outcome::incomplete : outcome::not_run;
             end.code = to_string(place.reason);
             end.message = "the request was given up on before it started";
-            end.come_back_in = place.come_back_in;
+            end.retry_after = place.retry_after;
             co_return end;
         }
         const relay_result result = co_await run_on(place, place_id);
@@ -286,14 +286,14 @@
     end.result = ran_ ? outcome::incomplete : outcome::not_run;
     end.code = "attempts_exhausted";
     end.message = "no backend server of the pool could run the request";
-    end.come_back_in = come_back_when_not_ready;
+    end.retry_after = come_back_when_not_ready;
     co_return end;
 }
 
 /// Decides what a failed attempt means. True when another may be made; otherwise `end` is set.
 asio::awaitable<bool> completion_handler::may_try_again(const relay_result& result, ending& end) {
     end.result = outcome::incomplete;
-    end.come_back_in = come_back_after_loss;
+    end.retry_after = come_back_after_loss;
     end.message = result.why;
     if (result.end == relay_end::caller_gone || result.end == relay_end::cancelled) {
         end.code = result.end == relay_end::cancelled ? "cancelled" : "caller_gone";
@@ -403,19 +403,19 @@
         co_return;
     }
     if (!writer_->head_sent() && end.result == outcome::not_run) {
-        error_answer refusal = make_refusal(end.code, end.message, end.come_back_in);
+        error_answer refusal = make_refusal(end.code, end.message, end.retry_after);
         refusal.status =
             end.code == "deadline_unreachable" || end.code == "workspace_queue_full" ? 429 : 503;
         co_await respond_error(exchange_, refusal);
         co_return;
     }
-    co_await writer_->finish(generation_, end.result, tokens_, end.finish_reason, end.come_back_in,
+    co_await writer_->finish(generation_, end.result, tokens_, end.finish_reason, end.retry_after,
                              end.message);
 }
 
 asio::awaitable<void> completion_handler::answer_whole(const ending& end) {
     if (end.result != outcome::completed) {
-        error_answer refusal = make_refusal(end.code, end.message, end.come_back_in);
+        error_answer refusal = make_refusal(end.code, end.message, end.retry_after);
         refusal.outcome = to_string(end.result);
         refusal.status = end.result != outcome::not_run ? 502
                          : end.code == "deadline_unreachable" || end.code == "workspace_queue_full"
--- a/bamboostream/src/Entry/completion_handler.h
+++ b/bamboostream/src/Entry/completion_handler.h
@@ -26,7 +26,7 @@
     struct ending {
         outcome result = outcome::completed;
         std::string finish_reason;
-        milliseconds come_back_in{0};
+        milliseconds retry_after{0};
         std::string_view code;
         std::string message;
     };
--- a/bamboostream/src/Entry/error_answer.cpp
+++ b/bamboostream/src/Entry/error_answer.cpp
@@ -14,10 +14,10 @@
     return answer;
 }
 
-error_answer make_refusal(std::string_view code, std::string message, milliseconds come_back_in) {
+error_answer make_refusal(std::string_view code, std::string message, milliseconds retry_after) {
     error_answer answer = make_error(503, code, std::move(message));
     answer.outcome = "not_run";
-    answer.come_back_in = come_back_in;
+    answer.retry_after = retry_after;
     return answer;
 }
 
@@ -26,8 +26,8 @@
     if (!error.outcome.empty()) {
         body["outcome"] = error.outcome;
     }
-    if (error.come_back_in.count() > 0) {
-        body["come_back_in_ms"] = error.come_back_in.count();
+    if (error.retry_after.count() > 0) {
+        body["come_back_in_ms"] = error.retry_after.count();
     }
     if (!error.mistakes.empty()) {
         boost::json::array details;
@@ -42,11 +42,11 @@
 
 boost::asio::awaitable<bool> respond_error(http_exchange& exchange, const error_answer& error) {
     std::vector<http_field> fields;
-    if (error.come_back_in.count() > 0) {
-        const auto whole_seconds = std::chrono::ceil<seconds>(error.come_back_in).count();
+    if (error.retry_after.count() > 0) {
+        const auto whole_seconds = std::chrono::ceil<seconds>(error.retry_after).count();
         fields.push_back({"Retry-After", std::to_string(whole_seconds)});
     }
-    log_event(error.come_back_in.count() > 0 ? events::request_refused : events::bad_request,
+    log_event(error.retry_after.count() > 0 ? events::request_refused : events::bad_request,
               "path={} status={} code={}", exchange.request().path, error.status, error.code);
     std::string body = to_json(error);
     co_return co_await exchange.respond_json(error.status, std::move(body), fields);
--- a/bamboostream/src/Entry/error_answer.h
+++ b/bamboostream/src/Entry/error_answer.h
@@ -20,7 +20,7 @@
     /// "not_run", "unknown" or empty when nothing could have run.
     std::string_view outcome;
     /// When to come back; zero when coming back is of no use.
-    milliseconds come_back_in{0};
+    milliseconds retry_after{0};
     std::vector<json_mistake> mistakes;
 };
 
@@ -28,7 +28,7 @@
 error_answer make_error(int status, std::string_view code, std::string message);
 
 /// A refusal before anything ran, with the time to come back.
-error_answer make_refusal(std::string_view code, std::string message, milliseconds come_back_in);
+error_answer make_refusal(std::string_view code, std::string message, milliseconds retry_after);
 
 /// The answer as JSON text.
 std::string to_json(const error_answer& error);
--- a/bamboostream/src/Entry/service_handler.cpp
+++ b/bamboostream/src/Entry/service_handler.cpp
@@ -29,7 +29,7 @@
         problem = make_error(503, core_.closed ? "leaving" : "not_ready",
                              "this instance takes no calls now; ask for other addresses");
         problem.outcome = "not_run";
-        problem.come_back_in = come_back;
+        problem.retry_after = come_back;
         return false;
     }
     document_ = core_.configuration->document();
@@ -92,7 +92,7 @@
                                               std::string message) {
     error_answer answer = make_error(outcome == "not_run" ? 503 : 502, code, std::move(message));
     answer.outcome = outcome;
-    answer.come_back_in = come_back;
+    answer.retry_after = come_back;
     co_await respond_error(exchange_, answer);
 }
 
@@ -101,7 +101,7 @@
     error_answer answer = make_error(outcome == "not_run" ? 503 : 502, "ends_servers",
                                      "several servers ended while they ran this call");
     answer.outcome = outcome;
-    answer.come_back_in = held_for;
+    answer.retry_after = held_for;
     co_await respond_error(exchange_, answer);
 }
 
--- a/bamboostream/src/Entry/sse_writer.cpp
+++ b/bamboostream/src/Entry/sse_writer.cpp
@@ -150,7 +150,7 @@
 
 asio::awaitable<bool> sse_writer::finish(std::string_view generation, outcome result,
                                          std::uint64_t tokens, std::string_view finish_reason,
-                                         milliseconds come_back_in, std::string_view message) {
+                                         milliseconds retry_after, std::string_view message) {
     if (!head_sent_) {
         co_await send_head(nullptr);
     }
@@ -159,8 +159,8 @@
     if (!finish_reason.empty()) {
         final["finish_reason"] = finish_reason;
     }
-    if (come_back_in.count() > 0) {
-        final["come_back_in_ms"] = come_back_in.count();
+    if (retry_after.count() > 0) {
+        final["come_back_in_ms"] = retry_after.count();
     }
     if (!message.empty()) {
         final["message"] = message;
--- a/bamboostream/src/Entry/sse_writer.h
+++ b/bamboostream/src/Entry/sse_writer.h
@@ -54,7 +54,7 @@
     /// Sends the outcome and ends the stream.
     boost::asio::awaitable<bool> finish(std::string_view generation, outcome result,
                                         std::uint64_t tokens, std::string_view finish_reason,
-                                        milliseconds come_back_in, std::string_view message);
+                                        milliseconds retry_after, std::string_view message);
     const stream_timing& timing() const { return timing_; }
 
 private:
--- a/bamboostream/src/Limits/pool_scheduler.cpp
+++ b/bamboostream/src/Limits/pool_scheduler.cpp
@@ -189,7 +189,7 @@
     place_decision decision;
     decision.id = id;
     decision.reason = reason;
-    decision.come_back_in = returns_.promise(id, workspace, drain, service, tokens, now);
+    decision.retry_after = returns_.promise(id, workspace, drain, service, tokens, now);
     return decision;
 }
 
--- a/bamboostream/src/Limits/pool_scheduler.h
+++ b/bamboostream/src/Limits/pool_scheduler.h
@@ -56,7 +56,7 @@
     /// Where to run, when granted.
     backend_id backend;
     /// When to come back, when refused.
-    milliseconds come_back_in{0};
+    milliseconds retry_after{0};
     refusal_reason reason = refusal_reason::none;
 };
 
--- a/bench/policy/simulation.cpp
+++ b/bench/policy/simulation.cpp
@@ -274,7 +274,7 @@
                       [this, &r, engine, index] { submit(r, engine, index); });
             return;
         }
-        queue_.at(now_ + delay(), [this, &r, wait = decision.come_back_in] {
+        queue_.at(now_ + delay(), [this, &r, wait = decision.retry_after] {
             recorder_.refused(r.id, now_);
             if (++returns_[r.id] > most_returns) {
                 return;
--- a/programs/bamboostream_load.cpp
+++ b/programs/bamboostream_load.cpp
@@ -125,8 +125,8 @@
             const bool refused = record.ended && record.result == outcome::not_run;
             record.admitted_returns += returning && !refused ? 1 : 0;
             record.refusals += refused ? 1 : 0;
-            const milliseconds wait = record.plan.is_service_call ? record.service.come_back_in
-                                                                  : record.completion.come_back_in;
+            const milliseconds wait = record.plan.is_service_call ? record.service.retry_after
+                                                                  : record.completion.retry_after;
             if (!refused || wait.count() == 0 || record.returns >= s_.returns) {
                 break;
             }
--- a/test/limits_test.cpp
+++ b/test/limits_test.cpp
@@ -205,7 +205,7 @@
     ASSERT_EQ(decisions.size(), 1U);
     EXPECT_FALSE(decisions[0].granted);
     EXPECT_EQ(decisions[0].reason, refusal_reason::no_engine);
-    EXPECT_GT(decisions[0].come_back_in.count(), 0);
+    EXPECT_GT(decisions[0].retry_after.count(), 0);
 }
 
 TEST_F(pool_scheduler_test, limits_of_a_workspace_hold) {
--- a/test/system/call_faults_test.cpp
+++ b/test/system/call_faults_test.cpp
@@ -136,7 +136,7 @@
     const int runs_after_first = c.runs_of(key);
     if (first->result == outcome::not_run) {
         EXPECT_EQ(runs_after_first, 0);
-        EXPECT_GT(first->come_back_in.count(), 0);
+        EXPECT_GT(first->retry_after.count(), 0);
     }
     if (first->result == outcome::completed) {
         EXPECT_EQ(runs_after_first, 1);
