--- a/bamboostream/src/Forwarding/engine_choice.cpp
+++ b/bamboostream/src/Forwarding/engine_choice.cpp
@@ -37,17 +37,17 @@
     const admission_request asked{request.work, request.engine_memory_tokens, request.priority,
                                   request.objective};
     const auto verdict_at = [&](const registered_backend& engine) {
-        return judge_admission(state.admission, asked, state.loads.total(engine.id, now),
+        return check_admission(state.admission, asked, state.loads.total(engine.id, now),
                                state.reading.tokens_a_ms(request.service, work_key(engine.id)));
     };
     const auto engines = servers_with_room(state, request.service, role, now);
     std::vector<const registered_backend*> open = engines;
     std::erase_if(open, [&](const registered_backend* engine) {
-        return verdict_at(*engine) != admission_verdict::admit;
+        return verdict_at(*engine) != admission_result::admit;
     });
     if (const auto* chosen = state.picker.pick(open, state.loads, wanted, now)) {
         note_send(state, *chosen, now);
-        return {*chosen, admission_verdict::admit, state.loads.total(chosen->id, now), {}};
+        return {*chosen, admission_result::admit, state.loads.total(chosen->id, now), {}};
     }
     // Of the engines that have no room, the least loaded says why.
     const registered_backend* best = state.picker.pick(engines, state.loads, wanted, now);
--- a/bamboostream/src/Forwarding/engine_choice.h
+++ b/bamboostream/src/Forwarding/engine_choice.h
@@ -34,7 +34,7 @@
 struct engine_choice {
     /// Nothing when no engine may get it.
     std::optional<registered_backend> engine;
-    admission_verdict verdict = admission_verdict::admit;
+    admission_result verdict = admission_result::admit;
     /// The work at that engine which the verdict goes by.
     backend_work work;
     /// When it is not admitted: how long generations of the service have been refused.
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -240,7 +240,7 @@
     if (!choice->engine) {
         co_return std::nullopt;
     }
-    if (choice->verdict != admission_verdict::admit) {
+    if (choice->verdict != admission_result::admit) {
         turned_away_ = true;
         overload_ = choice->overload;
         log_turned_away(*choice);
@@ -253,7 +253,7 @@
     log_event(events::request_refused,
               "request={} reason={} route={} backend={} memory_tokens={} unread_tokens={} of={}",
               request_.id,
-              choice.verdict == admission_verdict::memory_full ? "memory_full" : "prompts_queued",
+              choice.verdict == admission_result::memory_full ? "memory_full" : "prompts_queued",
               route_->name, choice.engine->id.text(), choice.work.memory_tokens,
               choice.work.unread_tokens, service_->engine->memory_tokens);
 }
--- a/bamboostream/src/Gateway/peer_frames.cpp
+++ b/bamboostream/src/Gateway/peer_frames.cpp
@@ -135,7 +135,7 @@
 
 wire::AdmitReplyT to_wire(const engine_choice& choice) {
     wire::AdmitReplyT out;
-    out.granted = choice.engine && choice.verdict == admission_verdict::admit;
+    out.granted = choice.engine && choice.verdict == admission_result::admit;
     out.backend = choice.engine ? choice.engine->id.text() : std::string();
     out.reason = static_cast<std::uint8_t>(choice.verdict);
     out.requests = tokens_on_wire(choice.work.requests);
@@ -146,9 +146,9 @@
 }
 
 engine_choice from_wire(const wire::AdmitReplyT& reply, const registered_backend& engine) {
-    constexpr auto last = static_cast<std::uint8_t>(admission_verdict::prompts_queued);
+    constexpr auto last = static_cast<std::uint8_t>(admission_result::prompts_queued);
     return {engine,
-            static_cast<admission_verdict>(std::min(reply.reason, last)),
+            static_cast<admission_result>(std::min(reply.reason, last)),
             {static_cast<int>(reply.requests), reply.memory_tokens, reply.unread_tokens},
             milliseconds(reply.overload_ms)};
 }
--- a/bamboostream/src/Gateway/pool_owner.cpp
+++ b/bamboostream/src/Gateway/pool_owner.cpp
@@ -131,7 +131,7 @@
     }
     wanted.engine_memory_tokens = service->engine->memory_tokens;
     const engine_choice choice = choose_engine(forwarding_, wanted, role(wanted.service), now);
-    if (choice.engine && choice.verdict == admission_verdict::admit) {
+    if (choice.engine && choice.verdict == admission_result::admit) {
         forwarding_.loads.expect(sender, {work_key(choice.engine->id), wanted.work}, now);
     }
     return make_reply(to_wire(choice));
--- a/bamboostream/src/Limits/engine_admission.cpp
+++ b/bamboostream/src/Limits/engine_admission.cpp
@@ -8,22 +8,23 @@
     return from_milliseconds(static_cast<double>(queued + prompt) / tokens_a_ms);
 }
 
-admission_verdict judge_admission(const admission_rules& rules, const admission_request& request,
-                                  const backend_work& work, double tokens_a_ms) {
+admission_result check_admission(const admission_rules& rules, const admission_request& request,
+                                 const backend_work& work, double tokens_a_ms) {
     const double claimed = static_cast<double>(work.memory_tokens + request.work.memory_tokens) /
                            static_cast<double>(std::max<std::int64_t>(request.memory_tokens, 1));
     const int rank = std::clamp(request.priority, 0, rules.ranks - 1);
     // Nothing else fits an engine that is empty.
-    if (work.requests > 0 && claimed > rules.most_claimed - rules.less_a_rank * rank) {
-        return admission_verdict::memory_full;
+    if (work.requests > 0 &&
+        claimed > rules.max_claimed_fraction - rules.claimed_fraction_step * rank) {
+        return admission_result::memory_full;
     }
     const duration start =
         expected_start(work.unread_tokens, request.work.unread_tokens, tokens_a_ms);
     if (work.unread_tokens > 0 && request.objective > duration{} &&
-        to_milliseconds(start) > rules.most_start * to_milliseconds(request.objective)) {
-        return admission_verdict::prompts_queued;
+        to_milliseconds(start) > rules.max_start_fraction * to_milliseconds(request.objective)) {
+        return admission_result::prompts_queued;
     }
-    return admission_verdict::admit;
+    return admission_result::admit;
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Limits/engine_admission.h
+++ b/bamboostream/src/Limits/engine_admission.h
@@ -11,13 +11,13 @@
 struct admission_rules {
     /// Part of the objective within which the first event must be expected. What is left covers
     /// prompts that are read beside a full batch.
-    double most_start = 0.9;
+    double max_start_fraction = 0.9;
     /// Share of the engine's memory that its generations, the new one among them, will hold when
     /// all have grown to their expected end, for a request of the most urgent rank. They end one
     /// after the other, so it is over 1.
-    double most_claimed = 1.1;
+    double max_claimed_fraction = 1.1;
     /// How much less it is for each rank below: when memory runs out the more urgent are served.
-    double less_a_rank = 0.05;
+    double claimed_fraction_step = 0.05;
     /// Ranks below this are treated alike.
     int ranks = 2;
 };
@@ -34,7 +34,7 @@
 };
 
 /// Why a generation is not sent to an engine.
-enum class admission_verdict : std::uint8_t { admit, memory_full, prompts_queued };
+enum class admission_result : std::uint8_t { admit, memory_full, prompts_queued };
 
 /// The time until an engine at which `queued` prompt tokens are unread has read `prompt` more,
 /// at `tokens_a_ms` tokens a millisecond.
@@ -47,7 +47,7 @@
 /// answers that come too late, and the more callers ask the fewer are served in time. So a request
 /// is admitted while its first event is expected within its objective, and while its memory will be
 /// there by then; otherwise it is told at once when to come back.
-admission_verdict judge_admission(const admission_rules& rules, const admission_request& request,
-                                  const backend_work& work, double tokens_a_ms);
+admission_result check_admission(const admission_rules& rules, const admission_request& request,
+                                 const backend_work& work, double tokens_a_ms);
 
 } // namespace bamboostream
--- a/bamboostream/src/Routing/backend_picker.h
+++ b/bamboostream/src/Routing/backend_picker.h
@@ -28,7 +28,7 @@
 /// For plain calls that is the share of places taken. For generations it is the memory that will be
 /// held, which sets how long a step takes, and the prompts that wait to be read, which set how long
 /// the first event takes. It answers any load: with idle servers it spreads requests, and past
-/// saturation `judge_admission` says first which servers may be chosen at all.
+/// saturation `check_admission` says first which servers may be chosen at all.
 class backend_picker {
 public:
     explicit backend_picker(std::uint64_t seed) : random_(seed) {}
--- a/test/platform/admission_load_test.cpp
+++ b/test/platform/admission_load_test.cpp
@@ -129,7 +129,7 @@
         request.objective = g.kind->objective;
         request.near = failure_domain_id("norra");
         const engine_choice choice = choose_engine(state_, request, sender_role::owner, now_);
-        if (choice.verdict == admission_verdict::admit) {
+        if (choice.verdict == admission_result::admit) {
             g.at = choice.engine->id;
             g.sent = now_;
             g.queued = choice.work;
--- a/test/platform/admission_test.cpp
+++ b/test/platform/admission_test.cpp
@@ -20,7 +20,7 @@
     std::string name;
     backend_work work;
     int priority;
-    admission_verdict verdict;
+    admission_result verdict;
 };
 
 class admission : public testing::TestWithParam<admission_row> {
@@ -34,20 +34,20 @@
 INSTANTIATE_TEST_SUITE_P(
     table, admission,
     testing::Values(
-        admission_row{"idle", {}, 1, admission_verdict::admit},
-        admission_row{"urgent_when_nearly_full", {5, 17'500, 0}, 0, admission_verdict::admit},
+        admission_row{"idle", {}, 1, admission_result::admit},
+        admission_row{"urgent_when_nearly_full", {5, 17'500, 0}, 0, admission_result::admit},
         admission_row{
-            "less_urgent_when_nearly_full", {5, 17'500, 0}, 1, admission_verdict::memory_full},
-        admission_row{"full", {5, 19'500, 0}, 0, admission_verdict::memory_full},
+            "less_urgent_when_nearly_full", {5, 17'500, 0}, 1, admission_result::memory_full},
+        admission_row{"full", {5, 19'500, 0}, 0, admission_result::memory_full},
         admission_row{
-            "least_urgent_is_like_the_second", {5, 16'500, 0}, 9, admission_verdict::admit},
-        admission_row{"expected_in_time", {5, 9'000, 6'400}, 0, admission_verdict::admit},
-        admission_row{"expected_late", {5, 9'000, 6'500}, 0, admission_verdict::prompts_queued}),
+            "least_urgent_is_like_the_second", {5, 16'500, 0}, 9, admission_result::admit},
+        admission_row{"expected_in_time", {5, 9'000, 6'400}, 0, admission_result::admit},
+        admission_row{"expected_late", {5, 9'000, 6'500}, 0, admission_result::prompts_queued}),
     [](const auto& info) { return info.param.name; });
 
 // What is sent where its first event comes late keeps the engine from serving others in time.
 TEST_P(admission, turns_away_what_would_be_late) {
-    EXPECT_EQ(judge_admission({}, request(GetParam().priority), GetParam().work, tokens_a_ms),
+    EXPECT_EQ(check_admission({}, request(GetParam().priority), GetParam().work, tokens_a_ms),
               GetParam().verdict);
 }
 
@@ -56,9 +56,9 @@
 TEST_F(admission, a_large_request_goes_to_an_empty_engine) {
     admission_request large = request(1);
     large.work = {1, 30'000, 15'000};
-    EXPECT_EQ(judge_admission({}, large, {}, tokens_a_ms), admission_verdict::admit);
-    EXPECT_EQ(judge_admission({}, large, {1, 2'000, 0}, tokens_a_ms),
-              admission_verdict::memory_full);
+    EXPECT_EQ(check_admission({}, large, {}, tokens_a_ms), admission_result::admit);
+    EXPECT_EQ(check_admission({}, large, {1, 2'000, 0}, tokens_a_ms),
+              admission_result::memory_full);
 }
 
 // The least loaded engine has no memory left for the request and another one has: it goes there.
@@ -78,10 +78,10 @@
     const engine_choice choice = choose_engine(state, request, sender_role::owner, start);
     ASSERT_TRUE(choice.engine);
     EXPECT_EQ(choice.engine->id, backend_id("queued"));
-    EXPECT_EQ(choice.verdict, admission_verdict::admit);
+    EXPECT_EQ(choice.verdict, admission_result::admit);
     state.loads.add(backend_id("queued"), {1, 3'000, 3'000});
     EXPECT_NE(choose_engine(state, request, sender_role::owner, start).verdict,
-              admission_verdict::admit);
+              admission_result::admit);
 }
 
 // --- reading rates
--- a/test/platform/pool_owner_test.cpp
+++ b/test/platform/pool_owner_test.cpp
@@ -83,7 +83,7 @@
     for (int i = 0; i < engine_count / 2; ++i) {
         const auto choice = ask(i % 2 == 0 ? asker() : *order_[3], request());
         ASSERT_TRUE(choice && choice->engine);
-        EXPECT_EQ(choice->verdict, admission_verdict::admit);
+        EXPECT_EQ(choice->verdict, admission_result::admit);
         EXPECT_TRUE(given.insert(choice->engine->id.text()).second);
     }
     EXPECT_EQ(asked(owner()), engine_count / 2);
@@ -108,7 +108,7 @@
     }
     const auto choice = ask(asker(), request());
     ASSERT_TRUE(choice && choice->engine);
-    EXPECT_EQ(choice->verdict, admission_verdict::memory_full);
+    EXPECT_EQ(choice->verdict, admission_result::memory_full);
 }
 
 // The owner is gone and its death not known yet. The deputy answers, and the next request doesn't
@@ -196,7 +196,7 @@
     int placed = 0;
     for (int i = 0; i < 3 * engine_count; ++i) {
         const auto choice = ask(asker(), request());
-        placed += choice && choice->engine && choice->verdict == admission_verdict::admit ? 1 : 0;
+        placed += choice && choice->engine && choice->verdict == admission_result::admit ? 1 : 0;
     }
     EXPECT_EQ(placed, 2 * engine_count);
 }
