--- a/bamboostream/src/Forwarding/engine_choice.cpp
+++ b/bamboostream/src/Forwarding/engine_choice.cpp
@@ -38,7 +38,7 @@
                                   request.objective};
     const auto verdict_at = [&](const registered_backend& engine) {
         return check_admission(state.admission, asked, state.loads.total(engine.id, now),
-                               state.reading.tokens_a_ms(request.service, work_key(engine.id)));
+                               state.reading.tokens_per_ms(request.service, work_key(engine.id)));
     };
     const auto engines = servers_with_room(state, request.service, role, now);
     std::vector<const registered_backend*> open = engines;
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -248,17 +248,17 @@
 }
 
 /// An engine whose memory is full keeps a prompt waiting for that, which says nothing of reading.
-void forwarded_call::note_reading() {
+void forwarded_call::record_prefill() {
     if (!service_->engine || !queued_before_ || request_.prompt_tokens <= 0 ||
         queued_before_->memory_tokens + expected_work().memory_tokens >
             service_->engine->memory_tokens) {
         return;
     }
-    const reading_sample sample{
+    const prefill_sample sample{
         static_cast<double>(queued_before_->unread_tokens + request_.prompt_tokens),
         to_milliseconds(first_event_ - sent_at_)};
     state_.reading.note(service_->id, work_key(entered_at_), sample);
-    state_.engine_outcomes.note_reading(entered_at_, sample);
+    state_.engine_outcomes.record_prefill(entered_at_, sample);
 }
 
 bool forwarded_call::is_movable() const {
@@ -272,7 +272,7 @@
     if (!begun_) {
         begun_ = true;
         first_event_ = now;
-        note_reading();
+        record_prefill();
         const std::vector<http_field> fields = state_.codec.answer_fields(*channel_);
         if (!co_await exchange_.begin_stream(status, {}, fields)) {
             co_return false;
--- a/bamboostream/src/Forwarding/forwarded_call.h
+++ b/bamboostream/src/Forwarding/forwarded_call.h
@@ -99,7 +99,7 @@
     void give_back(const destination& to);
     bool is_movable() const;
     /// Tells how long the engine took to read until the first event, when that shows.
-    void note_reading();
+    void record_prefill();
 
     forwarding_state& state_;
     http_exchange& exchange_;
--- a/bamboostream/src/Forwarding/forwarding_state.h
+++ b/bamboostream/src/Forwarding/forwarding_state.h
@@ -16,7 +16,7 @@
 #include "bamboostream/src/Routing/backend_picker.h"
 #include "bamboostream/src/Routing/load_book.h"
 #include "bamboostream/src/Routing/outcome_book.h"
-#include "bamboostream/src/Routing/reading_rates.h"
+#include "bamboostream/src/Routing/prefill_rates.h"
 #include "bamboostream/src/Routing/route_table.h"
 #include "bamboostream/src/Routing/window_budget.h"
 
@@ -79,7 +79,7 @@
     view_age documents_view;
     load_book loads;
     /// How fast engines read prompts, by what this instance has seen and has been told.
-    reading_rates reading;
+    prefill_rates reading;
     window_budget budget;
     admission_rules admission;
     backend_picker picker;
--- a/bamboostream/src/Gateway/peer_frames.cpp
+++ b/bamboostream/src/Gateway/peer_frames.cpp
@@ -97,8 +97,8 @@
         if (entry.succeeded > 0 || entry.failed > 0) {
             report.outcomes.emplace_back(entry.backend, entry.succeeded, entry.failed);
         }
-        if (entry.reading_ms > 0) {
-            report.readings.emplace_back(entry.backend, entry.tokens_read, entry.reading_ms);
+        if (entry.prefill_ms > 0) {
+            report.readings.emplace_back(entry.backend, entry.prefill_tokens, entry.prefill_ms);
         }
     }
     return report;
--- a/bamboostream/src/Gateway/pool_owner.cpp
+++ b/bamboostream/src/Gateway/pool_owner.cpp
@@ -56,7 +56,7 @@
             forwarding_.picker.note(engine->id, seen.succeeded, seen.failed, group, now);
             forwarding_.reading.note(
                 engine->service, seen.backend,
-                {static_cast<double>(seen.tokens_read), static_cast<double>(seen.reading_ms)});
+                {static_cast<double>(seen.prefill_tokens), static_cast<double>(seen.prefill_ms)});
         }
     }
 }
--- a/bamboostream/src/Limits/engine_admission.cpp
+++ b/bamboostream/src/Limits/engine_admission.cpp
@@ -4,12 +4,12 @@
 
 namespace bamboostream {
 
-duration expected_start(std::int64_t queued, std::int64_t prompt, double tokens_a_ms) {
-    return from_milliseconds(static_cast<double>(queued + prompt) / tokens_a_ms);
+duration expected_start(std::int64_t queued, std::int64_t prompt, double tokens_per_ms) {
+    return from_milliseconds(static_cast<double>(queued + prompt) / tokens_per_ms);
 }
 
 admission_result check_admission(const admission_rules& rules, const admission_request& request,
-                                 const backend_work& work, double tokens_a_ms) {
+                                 const backend_work& work, double tokens_per_ms) {
     const double claimed = static_cast<double>(work.memory_tokens + request.work.memory_tokens) /
                            static_cast<double>(std::max<std::int64_t>(request.memory_tokens, 1));
     const int rank = std::clamp(request.priority, 0, rules.ranks - 1);
@@ -19,7 +19,7 @@
         return admission_result::memory_full;
     }
     const duration start =
-        expected_start(work.unread_tokens, request.work.unread_tokens, tokens_a_ms);
+        expected_start(work.unread_tokens, request.work.unread_tokens, tokens_per_ms);
     if (work.unread_tokens > 0 && request.objective > duration{} &&
         to_milliseconds(start) > rules.max_start_fraction * to_milliseconds(request.objective)) {
         return admission_result::prompts_queued;
--- a/bamboostream/src/Limits/engine_admission.h
+++ b/bamboostream/src/Limits/engine_admission.h
@@ -37,8 +37,8 @@
 enum class admission_result : std::uint8_t { admit, memory_full, prompts_queued };
 
 /// The time until an engine at which `queued` prompt tokens are unread has read `prompt` more,
-/// at `tokens_a_ms` tokens a millisecond.
-duration expected_start(std::int64_t queued, std::int64_t prompt, double tokens_a_ms);
+/// at `tokens_per_ms` tokens a millisecond.
+duration expected_start(std::int64_t queued, std::int64_t prompt, double tokens_per_ms);
 
 /// Decides whether a generation may go to an engine where `work` is under way.
 ///
@@ -48,6 +48,6 @@
 /// is admitted while its first event is expected within its objective, and while its memory will be
 /// there by then; otherwise it is told at once when to come back.
 admission_result check_admission(const admission_rules& rules, const admission_request& request,
-                                 const backend_work& work, double tokens_a_ms);
+                                 const backend_work& work, double tokens_per_ms);
 
 } // namespace bamboostream
--- a/bamboostream/src/Routing/outcome_book.cpp
+++ b/bamboostream/src/Routing/outcome_book.cpp
@@ -13,10 +13,10 @@
     return seen;
 }
 
-void outcome_book::note_reading(const backend_id& id, const reading_sample& sample) {
+void outcome_book::record_prefill(const backend_id& id, const prefill_sample& sample) {
     backend_outcomes& seen = of(id);
-    seen.tokens_read += static_cast<std::uint32_t>(sample.tokens);
-    seen.reading_ms += static_cast<std::uint32_t>(sample.ms);
+    seen.prefill_tokens += static_cast<std::uint32_t>(sample.tokens);
+    seen.prefill_ms += static_cast<std::uint32_t>(sample.ms);
 }
 
 void outcome_book::note(const backend_id& id, bool succeeded) {
--- a/bamboostream/src/Routing/outcome_book.h
+++ b/bamboostream/src/Routing/outcome_book.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bamboostream/src/Core/identities.h"
-#include "bamboostream/src/Routing/reading_rates.h"
+#include "bamboostream/src/Routing/prefill_rates.h"
 
 #include <cstdint>
 #include <unordered_map>
@@ -15,8 +15,8 @@
     std::uint64_t backend = 0;
     std::uint16_t succeeded = 0;
     std::uint16_t failed = 0;
-    std::uint32_t tokens_read = 0;
-    std::uint32_t reading_ms = 0;
+    std::uint32_t prefill_tokens = 0;
+    std::uint32_t prefill_ms = 0;
     bool operator==(const backend_outcomes&) const = default;
 };
 
@@ -26,7 +26,7 @@
 class outcome_book {
 public:
     void note(const backend_id& id, bool succeeded);
-    void note_reading(const backend_id& id, const reading_sample& sample);
+    void record_prefill(const backend_id& id, const prefill_sample& sample);
     /// Everything since the last call.
     std::vector<backend_outcomes> take();
 
--- a/bamboostream/src/Routing/reading_rates.cpp
+++ b/bamboostream/src/Routing/prefill_rates.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Routing/reading_rates.h"
+#include "bamboostream/src/Routing/prefill_rates.h"
 
 #include <algorithm>
 
@@ -17,7 +17,7 @@
 /// Shorter reads tell more of a step's time than of reading.
 constexpr double least_tokens = 500.0;
 
-void add(reading_sample& sum, const reading_sample& sample, double memory_tokens) {
+void add(prefill_sample& sum, const prefill_sample& sample, double memory_tokens) {
     const double kept = std::max(0.0, 1.0 - sample.tokens / memory_tokens);
     sum.tokens = sum.tokens * kept + sample.tokens;
     sum.ms = sum.ms * kept + sample.ms;
@@ -25,8 +25,8 @@
 
 } // namespace
 
-reading_sample reading_rates::average(const service_id& service) const {
-    reading_sample out{assumed_tokens, assumed_tokens / assumed_tokens_a_ms};
+prefill_sample prefill_rates::average(const service_id& service) const {
+    prefill_sample out{assumed_tokens, assumed_tokens / assumed_tokens_a_ms};
     if (const auto found = services_.find(service); found != services_.end()) {
         out.tokens += found->second.tokens;
         out.ms += found->second.ms;
@@ -34,8 +34,8 @@
     return out;
 }
 
-void reading_rates::note(const service_id& service, std::uint64_t engine,
-                         const reading_sample& sample) {
+void prefill_rates::note(const service_id& service, std::uint64_t engine,
+                         const prefill_sample& sample) {
     if (sample.tokens < least_tokens || sample.ms <= 0.0) {
         return;
     }
@@ -43,14 +43,14 @@
     add(engines_[engine], sample, engine_memory_tokens);
 }
 
-double reading_rates::tokens_a_ms(const service_id& service, std::uint64_t engine) const {
-    const reading_sample of_service = average(service);
+double prefill_rates::tokens_per_ms(const service_id& service, std::uint64_t engine) const {
+    const prefill_sample of_service = average(service);
     const double common = of_service.tokens / of_service.ms;
     const auto found = engines_.find(engine);
     if (found == engines_.end()) {
         return common;
     }
-    const reading_sample& own = found->second;
+    const prefill_sample& own = found->second;
     return (own.tokens + tokens_to_know_an_engine) / (own.ms + tokens_to_know_an_engine / common);
 }
 
--- a/bamboostream/src/Routing/reading_rates.h
+++ b/bamboostream/src/Routing/prefill_rates.h
@@ -9,7 +9,7 @@
 namespace bamboostream {
 
 /// What an engine has read, and the time that this took.
-struct reading_sample {
+struct prefill_sample {
     double tokens = 0.0;
     double ms = 0.0;
 };
@@ -19,20 +19,20 @@
 /// bear beside, and nobody states it.
 ///
 /// An engine of which little is known yet counts as its service's average does.
-class reading_rates {
+class prefill_rates {
 public:
     /// A generation's first event came `sample.ms` after it was sent to an engine, which had
     /// `sample.tokens` to read by then, those of its own prompt among them. `engine` by `work_key`.
-    void note(const service_id& service, std::uint64_t engine, const reading_sample& sample);
-    double tokens_a_ms(const service_id& service, std::uint64_t engine) const;
+    void note(const service_id& service, std::uint64_t engine, const prefill_sample& sample);
+    double tokens_per_ms(const service_id& service, std::uint64_t engine) const;
     /// The engine is gone or has started again.
     void forget(std::uint64_t engine) { engines_.erase(engine); }
 
 private:
-    reading_sample average(const service_id& service) const;
+    prefill_sample average(const service_id& service) const;
 
-    std::unordered_map<service_id, reading_sample> services_;
-    std::unordered_map<std::uint64_t, reading_sample> engines_;
+    std::unordered_map<service_id, prefill_sample> services_;
+    std::unordered_map<std::uint64_t, prefill_sample> engines_;
 };
 
 } // namespace bamboostream
--- a/test/platform/admission_load_test.cpp
+++ b/test/platform/admission_load_test.cpp
@@ -151,7 +151,7 @@
         returns_.emplace(now_ + retry_delay(about, random_), g);
     }
 
-    void note_reading(const generation& g, time_point first) {
+    void record_prefill(const generation& g, time_point first) {
         const std::int64_t claimed = g.queued.memory_tokens + g.job.prompt_tokens + g.expected;
         if (claimed <= memory_tokens) {
             state_.reading.note(service_id("s"), work_key(g.at),
@@ -179,7 +179,7 @@
         }
         if (!g.begun) {
             g.begun = true;
-            note_reading(g, e.at);
+            record_prefill(g, e.at);
             outcome& result = results_[g.kind];
             ++(e.at - g.asked <= g.kind->objective ? result.on_time : result.late);
             result.served_on_return += g.is_back ? 1 : 0;
--- a/test/platform/admission_test.cpp
+++ b/test/platform/admission_test.cpp
@@ -25,7 +25,7 @@
 
 class admission : public testing::TestWithParam<admission_row> {
 protected:
-    static constexpr double tokens_a_ms = 7.0;
+    static constexpr double tokens_per_ms = 7.0;
     static constexpr admission_request request(int priority) {
         return {{1, 4'000, 3'000}, 20'000, priority, milliseconds(1'500)};
     }
@@ -47,7 +47,7 @@
 
 // What is sent where its first event comes late keeps the engine from serving others in time.
 TEST_P(admission, turns_away_what_would_be_late) {
-    EXPECT_EQ(check_admission({}, request(GetParam().priority), GetParam().work, tokens_a_ms),
+    EXPECT_EQ(check_admission({}, request(GetParam().priority), GetParam().work, tokens_per_ms),
               GetParam().verdict);
 }
 
@@ -56,8 +56,8 @@
 TEST_F(admission, a_large_request_goes_to_an_empty_engine) {
     admission_request large = request(1);
     large.work = {1, 30'000, 15'000};
-    EXPECT_EQ(check_admission({}, large, {}, tokens_a_ms), admission_result::admit);
-    EXPECT_EQ(check_admission({}, large, {1, 2'000, 0}, tokens_a_ms),
+    EXPECT_EQ(check_admission({}, large, {}, tokens_per_ms), admission_result::admit);
+    EXPECT_EQ(check_admission({}, large, {1, 2'000, 0}, tokens_per_ms),
               admission_result::memory_full);
 }
 
@@ -114,7 +114,7 @@
 // everybody there is late, and fast ones stand idle while callers are refused.
 TEST_P(reading_rate, is_learned_by_engine_and_service) {
     const reading_row& row = GetParam();
-    reading_rates rates;
+    prefill_rates rates;
     const service_id service("s");
     const auto note = [&](std::uint64_t engine, double rate) {
         rates.note(service, engine, {3'000.0, 3'000.0 / rate});
@@ -127,16 +127,16 @@
             note(2, row.rate_of_b);
         }
     }
-    EXPECT_GE(rates.tokens_a_ms(service, 1), row.least_a);
-    EXPECT_LE(rates.tokens_a_ms(service, 1), row.most_a);
-    EXPECT_GE(rates.tokens_a_ms(service, 2), row.least_b);
-    EXPECT_LE(rates.tokens_a_ms(service, 2), row.most_b);
-    EXPECT_NEAR(rates.tokens_a_ms(service_id("other"), 3), 7.0, 0.01);
+    EXPECT_GE(rates.tokens_per_ms(service, 1), row.least_a);
+    EXPECT_LE(rates.tokens_per_ms(service, 1), row.most_a);
+    EXPECT_GE(rates.tokens_per_ms(service, 2), row.least_b);
+    EXPECT_LE(rates.tokens_per_ms(service, 2), row.most_b);
+    EXPECT_NEAR(rates.tokens_per_ms(service_id("other"), 3), 7.0, 0.01);
 }
 
 // An engine that has become slow is known to be within some prompts.
 TEST(reading_rate_test, a_change_shows) {
-    reading_rates rates;
+    prefill_rates rates;
     const service_id service("s");
     for (int i = 0; i < 200; ++i) {
         rates.note(service, 1, {3'000.0, 300.0});
@@ -144,9 +144,9 @@
     for (int i = 0; i < 20; ++i) {
         rates.note(service, 1, {3'000.0, 1'500.0});
     }
-    EXPECT_LT(rates.tokens_a_ms(service, 1), 4.5);
+    EXPECT_LT(rates.tokens_per_ms(service, 1), 4.5);
     rates.forget(1);
-    EXPECT_GT(rates.tokens_a_ms(service, 1), 6.0);
+    EXPECT_GT(rates.tokens_per_ms(service, 1), 6.0);
 }
 
 } // namespace
--- a/test/platform/pool_owner_test.cpp
+++ b/test/platform/pool_owner_test.cpp
@@ -232,12 +232,12 @@
 TEST_F(pool_owner_test, reading_is_told_to_the_owner) {
     const backend_id slow("i-3");
     for (int i = 0; i < 30; ++i) {
-        asker().forwarding.engine_outcomes.note_reading(slow, {3'000.0, 3'000.0});
+        asker().forwarding.engine_outcomes.record_prefill(slow, {3'000.0, 3'000.0});
         owner().owner->hear(to_wire({}, asker().forwarding.engine_outcomes.take()),
                             asker().address());
     }
-    const reading_rates& rates = owner().forwarding.reading;
-    EXPECT_LT(rates.tokens_a_ms(service_id("s"), work_key(slow)), 2.0);
+    const prefill_rates& rates = owner().forwarding.reading;
+    EXPECT_LT(rates.tokens_per_ms(service_id("s"), work_key(slow)), 2.0);
 }
 
 // Work is told to the owner and its deputy only, and by these to each other.
