--- a/bamboostream/src/Gateway/peer_exchange.cpp
+++ b/bamboostream/src/Gateway/peer_exchange.cpp
@@ -51,7 +51,7 @@
     while (true) {
         const std::vector<backend_work_entry> own = forwarding_.loads.own();
         forwarding_.live_instances = membership_.usable_peers().size() + 1;
-        forwarding_.cold_starts.note_instances(forwarding_.live_instances, monotonic_now());
+        forwarding_.cold_starts.update_instance_count(forwarding_.live_instances, monotonic_now());
         owner_.note_roles(monotonic_now());
         if (!own.empty() || !told_none) {
             links_.send_to_each(owner_.told_of_work(),
--- a/bamboostream/src/Gateway/pool_owner.cpp
+++ b/bamboostream/src/Gateway/pool_owner.cpp
@@ -113,10 +113,10 @@
         }
         const std::vector<std::string> order = owners(service.id);
         const auto own = std::find(order.begin(), order.end(), membership_.own_address());
-        const sender_role role = own == order.end()     ? sender_role::stand_in
+        const sender_role role = own == order.end()     ? sender_role::fallback
                                  : own == order.begin() ? sender_role::owner
-                                                        : sender_role::deputy;
-        forwarding_.cold_starts.note_role(service.id, role, now);
+                                                        : sender_role::standby;
+        forwarding_.cold_starts.update_role(service.id, role, now);
     }
 }
 
--- a/bamboostream/src/Limits/cold_start_limit.cpp
+++ b/bamboostream/src/Limits/cold_start_limit.cpp
@@ -30,9 +30,9 @@
     switch (role) {
     case sender_role::owner:
         return owner_part;
-    case sender_role::deputy:
+    case sender_role::standby:
         return deputy_part;
-    case sender_role::stand_in:
+    case sender_role::fallback:
         return stand_in_part;
     case sender_role::peer:
         break;
@@ -41,12 +41,12 @@
 }
 
 bool is_alone(sender_role role) {
-    return role == sender_role::owner || role == sender_role::deputy;
+    return role == sender_role::owner || role == sender_role::standby;
 }
 
 } // namespace
 
-void cold_start_limit::note_instances(std::size_t live, time_point now) {
+void cold_start_limit::update_instance_count(std::size_t live, time_point now) {
     if (!first_noted_) {
         first_noted_ = now;
     }
@@ -64,7 +64,7 @@
     return sightings_.empty() ? live_ : std::max(live_, sightings_.front().live);
 }
 
-void cold_start_limit::note_role(const service_id& service, sender_role role, time_point now) {
+void cold_start_limit::update_role(const service_id& service, sender_role role, time_point now) {
     const auto [held, is_new] = roles_.try_emplace(service, held_role{role, now});
     if (!is_new && held->second.role != role) {
         held->second = {role, now};
@@ -74,7 +74,7 @@
 sender_role cold_start_limit::role(const service_id& service, time_point now) const {
     const auto held = roles_.find(service);
     const bool settled = held != roles_.end() && now - held->second.since >= settling_time;
-    return settled && 2 * live_ > most_instances() ? held->second.role : sender_role::stand_in;
+    return settled && 2 * live_ > most_instances() ? held->second.role : sender_role::fallback;
 }
 
 std::size_t cold_start_limit::sent_lately(const backend_id& server, time_point now) {
--- a/bamboostream/src/Limits/cold_start_limit.h
+++ b/bamboostream/src/Limits/cold_start_limit.h
@@ -24,9 +24,9 @@
     /// Chooses for all.
     owner,
     /// Chooses for those that the owner doesn't answer.
-    deputy,
+    standby,
     /// Chooses for itself, in place of an owner.
-    stand_in,
+    fallback,
     /// One of many that all choose for themselves.
     peer,
 };
@@ -51,9 +51,9 @@
     /// Without rules there is no bound.
     void set_rules(std::optional<cold_start_rules> rules) { rules_ = rules; }
     /// `live` instances are known, this one included.
-    void note_instances(std::size_t live, time_point now);
+    void update_instance_count(std::size_t live, time_point now);
     /// By its own view this instance has that role for a service. To be told often.
-    void note_role(const service_id& service, sender_role role, time_point now);
+    void update_role(const service_id& service, sender_role role, time_point now);
     /// The role whose part it has. Only a stand-in's when it took its role up just now, has just
     /// started, or has lost sight of half of the others.
     sender_role role(const service_id& service, time_point now) const;
@@ -73,7 +73,7 @@
         std::size_t live;
     };
     struct held_role {
-        sender_role role = sender_role::stand_in;
+        sender_role role = sender_role::fallback;
         time_point since;
     };
     std::uint64_t self_;
--- a/test/cold_start_limit_test.cpp
+++ b/test/cold_start_limit_test.cpp
@@ -47,7 +47,7 @@
             limits_.emplace_back(random_());
             limits_.back().set_rules(rules);
             if (row.how != views::all_new) {
-                limits_.back().note_instances(row.instances, start - seconds(30));
+                limits_.back().update_instance_count(row.instances, start - seconds(30));
             }
         }
     }
@@ -75,13 +75,13 @@
         case views::agree:
         case views::all_new:
             return i == 0   ? sender_role::owner
-                   : i == 1 ? sender_role::deputy
-                            : sender_role::stand_in;
+                   : i == 1 ? sender_role::standby
+                            : sender_role::fallback;
         case views::owners_change:
             if (i == turn % count || (old_goes_on && i == (turn - 2) % count)) {
                 return sender_role::owner;
             }
-            return i == (turn + 1) % count ? sender_role::deputy : sender_role::stand_in;
+            return i == (turn + 1) % count ? sender_role::standby : sender_role::fallback;
         case views::all_cut_off:
             break;
         }
@@ -92,9 +92,9 @@
         cold_start_limit& limit = limits_[i];
         const bool alone = row_.how == views::all_cut_off ||
                            (row_.how == views::all_new && now - start < seconds(1));
-        limit.note_instances(alone ? 1 : row_.instances, now);
+        limit.update_instance_count(alone ? 1 : row_.instances, now);
         const sender_role seen = alone ? sender_role::owner : seen_role(i, now);
-        limit.note_role(service_, seen, now);
+        limit.update_role(service_, seen, now);
         const sender_role role = seen == sender_role::peer ? seen : limit.role(service_, now);
         if (limit.may_send(server_, row_.per_second, role, now)) {
             limit.note(server_, now);
@@ -168,15 +168,15 @@
     cold_start_limit limit(1);
     const service_id service("s");
     const auto role_after = [&](int at_s, std::size_t live) {
-        limit.note_instances(live, start + seconds(at_s));
-        limit.note_role(service, sender_role::owner, start + seconds(at_s));
+        limit.update_instance_count(live, start + seconds(at_s));
+        limit.update_role(service, sender_role::owner, start + seconds(at_s));
         return limit.role(service, start + seconds(at_s));
     };
-    EXPECT_EQ(role_after(0, 8), sender_role::stand_in);
-    EXPECT_EQ(role_after(1, 8), sender_role::stand_in);
+    EXPECT_EQ(role_after(0, 8), sender_role::fallback);
+    EXPECT_EQ(role_after(1, 8), sender_role::fallback);
     EXPECT_EQ(role_after(2, 8), sender_role::owner);
     EXPECT_EQ(role_after(3, 5), sender_role::owner);
-    EXPECT_EQ(role_after(4, 4), sender_role::stand_in);
+    EXPECT_EQ(role_after(4, 4), sender_role::fallback);
     // The others were taken away for good.
     EXPECT_EQ(role_after(70, 4), sender_role::owner);
 }
--- a/test/platform/pool_owner_test.cpp
+++ b/test/platform/pool_owner_test.cpp
@@ -157,7 +157,7 @@
             configuration.services.front().cold_per_second = 4.0;
             it->forwarding.routes = std::make_shared<const route_table>(configuration);
             it->forwarding.cold_starts.set_rules(cold_start_rules{1.0, 0.0});
-            it->forwarding.cold_starts.note_instances(group_.all.size(), settled);
+            it->forwarding.cold_starts.update_instance_count(group_.all.size(), settled);
             it->owner->note_roles(settled);
         }
     }
