--- a/bamboostream/src/Forwarding/engine_choice.cpp
+++ b/bamboostream/src/Forwarding/engine_choice.cpp
@@ -55,7 +55,7 @@
         return {};
     }
     return {*best, verdict_at(*best), state.loads.total(best->id, now),
-            state.overloads[request.service].note_refusal(now)};
+            state.overloads[request.service].record_refusal(now)};
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Forwarding/forwarding_state.h
+++ b/bamboostream/src/Forwarding/forwarding_state.h
@@ -8,7 +8,7 @@
 #include "bamboostream/src/Http/http_channel_pool.h"
 #include "bamboostream/src/Limits/cold_start_limit.h"
 #include "bamboostream/src/Limits/engine_admission.h"
-#include "bamboostream/src/Limits/overload_watch.h"
+#include "bamboostream/src/Limits/overload_tracker.h"
 #include "bamboostream/src/Limits/quarantine_registry.h"
 #include "bamboostream/src/Limits/retry_delay.h"
 #include "bamboostream/src/Membership/backend_registry.h"
@@ -85,7 +85,7 @@
     backend_picker picker;
     cold_start_limit cold_starts;
     /// Refused generations by service, of those that this instance chooses engines for.
-    std::unordered_map<service_id, overload_watch> overloads;
+    std::unordered_map<service_id, overload_tracker> overloads;
     /// What to tell those that choose engines for this instance.
     outcome_book engine_outcomes;
     http_channel_pool channels;
--- a/bamboostream/src/Limits/overload_watch.h
+++ b/bamboostream/src/Limits/overload_tracker.h
@@ -12,11 +12,11 @@
 /// return within a moment of a lasting one are refused a second time and have no answer at all.
 /// Those refused in a moment's crowd find room when it is over.
 ///
-/// Example: `const duration lasts = watch.note_refusal(now);`
-class overload_watch {
+/// Example: `const duration lasts = watch.record_refusal(now);`
+class overload_tracker {
 public:
     /// A request is refused for want of room. How long this has gone on.
-    duration note_refusal(time_point now) {
+    duration record_refusal(time_point now) {
         if (!since_ || now - latest_ > longest_pause) {
             since_ = now;
         }
