--- a/bamboostream/src/Control/scheduling_service.cpp
+++ b/bamboostream/src/Control/scheduling_service.cpp
@@ -141,8 +141,8 @@
     return out;
 }
 
-asio::awaitable<place_decision> scheduling_service::acquire(std::string pool,
-                                                            place_request request) {
+asio::awaitable<scheduling_decision> scheduling_service::acquire(std::string pool,
+                                                                 scheduling_request request) {
     while (true) {
         const std::vector<std::string> ask = candidates(pool);
         // A leaving instance owns nothing, but what it accepted it still places.
@@ -168,12 +168,12 @@
     }
 }
 
-asio::awaitable<std::optional<place_decision>>
-scheduling_service::ask_local(std::string pool, place_request request, time_point until) {
+asio::awaitable<std::optional<scheduling_decision>>
+scheduling_service::ask_local(std::string pool, scheduling_request request, time_point until) {
     const std::uint64_t id = request.id;
     const auto late = undelivered_.find(id);
     if (late != undelivered_.end()) {
-        const place_decision decision = late->second;
+        const scheduling_decision decision = late->second;
         undelivered_.erase(late);
         co_return decision;
     }
@@ -184,7 +184,7 @@
     }
     auto waiting = std::make_shared<waiter>(context_);
     waiters_[id] = waiting;
-    for (const place_decision& decision : own.scheduler->dispatch(monotonic_now())) {
+    for (const scheduling_decision& decision : own.scheduler->dispatch(monotonic_now())) {
         deliver(decision);
     }
     if (!waiting->decision) {
@@ -197,9 +197,9 @@
     co_return waiting->decision;
 }
 
-asio::awaitable<std::optional<place_decision>>
-scheduling_service::ask_remote(std::string owner, std::string pool, const place_request& request,
-                               bool& answered) {
+asio::awaitable<std::optional<scheduling_decision>>
+scheduling_service::ask_remote(std::string owner, std::string pool,
+                               const scheduling_request& request, bool& answered) {
     wire::AdmitRequestT message;
     message.request = request.id;
     message.pool = pool;
@@ -224,7 +224,7 @@
     if (decided.waiting) {
         co_return std::nullopt;
     }
-    place_decision decision;
+    scheduling_decision decision;
     decision.id = request.id;
     decision.granted = decided.granted;
     decision.backend = backend_id(decided.backend);
@@ -236,7 +236,7 @@
 asio::awaitable<std::unique_ptr<wire::FrameT>>
 scheduling_service::handle_admit(const wire::AdmitRequestT& message) {
     const time_point now = monotonic_now();
-    place_request request;
+    scheduling_request request;
     request.id = message.request;
     request.workspace = message.workspace;
     request.priority = static_cast<priority_level>(std::min<int>(message.priority, 2));
@@ -262,7 +262,7 @@
     co_return make_reply(std::move(reply));
 }
 
-void scheduling_service::deliver(const place_decision& decision) {
+void scheduling_service::deliver(const scheduling_decision& decision) {
     const auto waiting = waiters_.find(decision.id);
     if (waiting != waiters_.end()) {
         waiting->second->decision = decision;
@@ -276,7 +276,7 @@
     while (true) {
         co_await pause_for(dispatch_period);
         for (auto& [name, pool] : pools_) {
-            for (const place_decision& decision : pool.scheduler->dispatch(monotonic_now())) {
+            for (const scheduling_decision& decision : pool.scheduler->dispatch(monotonic_now())) {
                 deliver(decision);
             }
         }
@@ -356,7 +356,7 @@
     }
     for (const wire::ProgressEntry& entry : progress.entries) {
         if (entry.end() == 0) {
-            running_facts facts;
+            generation_progress facts;
             facts.id = entry.request();
             facts.tokens = entry.tokens();
             scheduler.on_progress(facts, now);
--- a/bamboostream/src/Control/scheduling_service.h
+++ b/bamboostream/src/Control/scheduling_service.h
@@ -23,7 +23,7 @@
 
 /// A generation this instance streams, as its pool's scheduler must know it.
 struct streamed_generation {
-    running_facts facts;
+    generation_progress facts;
     std::string pool;
     std::shared_ptr<relay_progress> progress;
     /// The scheduler that knows of it.
@@ -41,7 +41,8 @@
 
     void start();
     /// Waits for a place for `request` in `pool`, until granted or refused.
-    boost::asio::awaitable<place_decision> acquire(std::string pool, place_request request);
+    boost::asio::awaitable<scheduling_decision> acquire(std::string pool,
+                                                        scheduling_request request);
     /// A stream begins on a granted place.
     void stream_started(streamed_generation generation);
     /// It ended; `place` is the id of the place request.
@@ -58,7 +59,7 @@
     struct waiter {
         explicit waiter(boost::asio::io_context& context) : decided(context) {}
         boost::asio::steady_timer decided;
-        std::optional<place_decision> decision;
+        std::optional<scheduling_decision> decision;
     };
     struct local_pool {
         std::unique_ptr<pool_scheduler> scheduler;
@@ -68,13 +69,14 @@
 
     local_pool& local(const std::string& pool);
     void configure(const std::string& name, pool_scheduler& scheduler) const;
-    boost::asio::awaitable<std::optional<place_decision>>
-    ask_local(std::string pool, place_request request, time_point until);
-    boost::asio::awaitable<std::optional<place_decision>>
-    ask_remote(std::string owner, std::string pool, const place_request& request, bool& answered);
+    boost::asio::awaitable<std::optional<scheduling_decision>>
+    ask_local(std::string pool, scheduling_request request, time_point until);
+    boost::asio::awaitable<std::optional<scheduling_decision>>
+    ask_remote(std::string owner, std::string pool, const scheduling_request& request,
+               bool& answered);
     boost::asio::awaitable<void> dispatch_loop();
     boost::asio::awaitable<void> progress_loop();
-    void deliver(const place_decision& decision);
+    void deliver(const scheduling_decision& decision);
     void report_progress(bool all);
     bool is_cordoned(const backend_facts& backend) const;
     /// Whether an engine may get new work: it is live and its failure domain in service.
@@ -89,7 +91,7 @@
     std::uint64_t seed_;
     std::map<std::string, local_pool, std::less<>> pools_;
     std::unordered_map<std::uint64_t, std::shared_ptr<waiter>> waiters_;
-    std::unordered_map<std::uint64_t, place_decision> undelivered_;
+    std::unordered_map<std::uint64_t, scheduling_decision> undelivered_;
     std::unordered_map<std::uint64_t, streamed_generation> streams_;
     std::unordered_map<std::string, time_point> silent_until_;
 };
--- a/bamboostream/src/Entry/completion_handler.cpp
+++ b/bamboostream/src/Entry/completion_handler.cpp
@@ -189,8 +189,8 @@
     co_return true;
 }
 
-place_request completion_handler::make_place_request(std::uint64_t id) const {
-    place_request request;
+scheduling_request completion_handler::make_place_request(std::uint64_t id) const {
+    scheduling_request request;
     request.id = id;
     request.workspace = workspace_.text();
     request.priority = request_.priority;
@@ -224,7 +224,7 @@
     });
 }
 
-asio::awaitable<void> completion_handler::note_end(const place_decision& place,
+asio::awaitable<void> completion_handler::note_end(const scheduling_decision& place,
                                                    std::uint64_t place_id, wall_time start_stamp,
                                                    const relay_result& result) {
     const bool completed = result.end == relay_end::completed;
@@ -249,13 +249,13 @@
     for (int attempt = 0; attempt < most_attempts; ++attempt) {
         const std::uint64_t place_id =
             stable_hash({workspace_.text(), unique, std::to_string(attempt)});
-        const place_request wanted = make_place_request(place_id);
+        const scheduling_request wanted = make_place_request(place_id);
         bool held = false;
-        const place_decision place =
-            co_await core_.on_control([&]() -> asio::awaitable<place_decision> {
+        const scheduling_decision place =
+            co_await core_.on_control([&]() -> asio::awaitable<scheduling_decision> {
                 held = is_held();
                 if (held) {
-                    co_return place_decision{};
+                    co_return scheduling_decision{};
                 }
                 co_return co_await core_.scheduling->acquire(pool_, wanted);
             });
@@ -324,7 +324,7 @@
     co_return true;
 }
 
-asio::awaitable<relay_result> completion_handler::run_on(const place_decision& place,
+asio::awaitable<relay_result> completion_handler::run_on(const scheduling_decision& place,
                                                          std::uint64_t place_id) {
     generation_request order;
     order.generation = generation_id(random_id());
--- a/bamboostream/src/Entry/completion_handler.h
+++ b/bamboostream/src/Entry/completion_handler.h
@@ -36,21 +36,21 @@
     boost::asio::awaitable<bool> claim_or_attach(ending& end);
     boost::asio::awaitable<bool> attach(const std::string& handle, ending& end);
     boost::asio::awaitable<ending> run_attempts();
-    boost::asio::awaitable<relay_result> run_on(const place_decision& place,
+    boost::asio::awaitable<relay_result> run_on(const scheduling_decision& place,
                                                 std::uint64_t place_id);
     boost::asio::awaitable<bool> may_try_again(const relay_result& result, ending& end);
     boost::asio::awaitable<void> answer(const ending& end);
     boost::asio::awaitable<void> answer_whole(const ending& end);
     void leave_to_caller(const issued_handle& handle);
     void record(const ending& end) const;
-    place_request make_place_request(std::uint64_t id) const;
+    scheduling_request make_place_request(std::uint64_t id) const;
     const request_digest& digest();
     /// Whether the request is refused because of what it does to engines. On the control thread.
     bool is_held();
     /// Sets `end` for a request that is held.
     boost::asio::awaitable<void> end_held(ending& end);
     /// Takes the end of a run into account. On the control thread.
-    boost::asio::awaitable<void> note_end(const place_decision& place, std::uint64_t place_id,
+    boost::asio::awaitable<void> note_end(const scheduling_decision& place, std::uint64_t place_id,
                                           wall_time start_stamp, const relay_result& result);
     const stream_timing& timing() const;
     token_sink& sink();
--- a/bamboostream/src/Entry/operator_handler.cpp
+++ b/bamboostream/src/Entry/operator_handler.cpp
@@ -296,7 +296,7 @@
                 {"waiting", scheduler == nullptr ? 0 : scheduler->waiting()},
                 {"running", scheduler == nullptr ? 0 : scheduler->running()},
                 {"tokens_per_second", scheduler == nullptr ? 0.0 : scheduler->service_rate()},
-                {"memory_caution", scheduler == nullptr ? 0.0 : scheduler->caution()}});
+                {"memory_caution", scheduler == nullptr ? 0.0 : scheduler->margin_sigmas()}});
         }
         json::array cordoned;
         for (const auto& [domain, cordon] : core_.configuration->document()->cordons) {
--- a/bamboostream/src/Limits/pool_dispatch.cpp
+++ b/bamboostream/src/Limits/pool_dispatch.cpp
@@ -75,7 +75,7 @@
 }
 
 void pool_scheduler::grant(const queued_work& work, engine_view& engine, time_point now,
-                           std::vector<place_decision>& out) {
+                           std::vector<scheduling_decision>& out) {
     running_work started;
     started.facts = {work.id, work.workspace, engine.id().text(), {}, work.prompt_tokens, 0};
     started.lengths = work.lengths;
@@ -94,7 +94,7 @@
     out.push_back({work.id, true, engine.id(), milliseconds(0), refusal_reason::none});
 }
 
-bool pool_scheduler::dispatch_one(time_point now, std::vector<place_decision>& out) {
+bool pool_scheduler::dispatch_one(time_point now, std::vector<scheduling_decision>& out) {
     queue_.order(order_, most_heads_tried);
     for (const std::string_view workspace : order_) {
         if (over_limit(std::string(workspace))) {
@@ -115,7 +115,7 @@
     return false;
 }
 
-void pool_scheduler::refuse_hopeless(time_point now, std::vector<place_decision>& out) {
+void pool_scheduler::refuse_hopeless(time_point now, std::vector<scheduling_decision>& out) {
     std::vector<std::uint64_t> hopeless;
     const bool no_engine = std::none_of(engines_.begin(), engines_.end(),
                                         [](const auto& item) { return item.second.usable; });
@@ -157,8 +157,8 @@
     }
 }
 
-std::vector<place_decision> pool_scheduler::dispatch(time_point now) {
-    std::vector<place_decision> out;
+std::vector<scheduling_decision> pool_scheduler::dispatch(time_point now) {
+    std::vector<scheduling_decision> out;
     refresh(now);
     if (now - last_check_ >= check_period) {
         last_check_ = now;
--- a/bamboostream/src/Limits/pool_scheduler.cpp
+++ b/bamboostream/src/Limits/pool_scheduler.cpp
@@ -38,8 +38,8 @@
 }
 
 pool_scheduler::pool_scheduler(std::string model, objective which, std::uint64_t seed)
-    : model_(std::move(model)), rules_(&rules_of(which)), random_(seed), caution_(rules_->caution) {
-}
+    : model_(std::move(model)), rules_(&rules_of(which)), random_(seed),
+      caution_(rules_->margin_sigmas) {}
 
 void pool_scheduler::set_objective(objective which) {
     rules_ = &rules_of(which);
@@ -121,7 +121,8 @@
     return make_demand(work.lengths, work.prompt_tokens, 0, work.exact_output_tokens);
 }
 
-std::optional<place_decision> pool_scheduler::submit(const place_request& request, time_point now) {
+std::optional<scheduling_decision> pool_scheduler::submit(const scheduling_request& request,
+                                                          time_point now) {
     interest_[request.id] = now;
     if (queue_.contains(request.id)) {
         return std::nullopt;
@@ -179,14 +180,14 @@
     return from_milliseconds(1000.0 * (seconds_ahead + promised / rate) / refusal_caution);
 }
 
-place_decision pool_scheduler::refuse(std::uint64_t id, const std::string& workspace, double tokens,
-                                      refusal_reason reason, time_point now) {
+scheduling_decision pool_scheduler::refuse(std::uint64_t id, const std::string& workspace,
+                                           double tokens, refusal_reason reason, time_point now) {
     const double rate = std::max(rate_.tokens_per_second(), 1.0) * queue_.share(workspace);
     const duration service = from_milliseconds(1000.0 * tokens / rate);
     // The place in the queue that the caller will need is one that it can still wait out.
     const duration drain =
         predicted_wait(workspace, priority_level::standard, most_expected_tokens, now) / 2;
-    place_decision decision;
+    scheduling_decision decision;
     decision.id = id;
     decision.reason = reason;
     decision.retry_after = returns_.promise(id, workspace, drain, service, tokens, now);
@@ -199,19 +200,19 @@
     interest_.erase(id);
 }
 
-std::optional<place_decision> pool_scheduler::granted_before(std::uint64_t id) const {
+std::optional<scheduling_decision> pool_scheduler::granted_before(std::uint64_t id) const {
     const auto found = running_.find(id);
     if (found == running_.end()) {
         return std::nullopt;
     }
-    place_decision decision;
+    scheduling_decision decision;
     decision.id = id;
     decision.granted = true;
     decision.backend = backend_id(found->second.facts.backend);
     return decision;
 }
 
-void pool_scheduler::on_progress(const running_facts& facts, time_point now) {
+void pool_scheduler::on_progress(const generation_progress& facts, time_point now) {
     auto [found, is_new] = running_.try_emplace(facts.id);
     running_work& work = found->second;
     if (is_new) {
@@ -337,7 +338,7 @@
     last_caution_ = now;
     caution_ += caution_step_up * std::min<double>(static_cast<double>(preemptions), 4.0);
     caution_ -= caution_step_down_per_second * elapsed;
-    caution_ = std::clamp(caution_, rules_->caution, rules_->most_caution);
+    caution_ = std::clamp(caution_, rules_->margin_sigmas, rules_->max_margin_sigmas);
 }
 
 void pool_scheduler::find_slow_engines() {
--- a/bamboostream/src/Limits/pool_scheduler.h
+++ b/bamboostream/src/Limits/pool_scheduler.h
@@ -21,7 +21,7 @@
 namespace bamboostream {
 
 /// A request for a place on one of a pool's engines.
-struct place_request {
+struct scheduling_request {
     std::uint64_t id = 0;
     std::string workspace;
     priority_level priority = priority_level::standard;
@@ -50,7 +50,7 @@
 std::string_view to_string(refusal_reason reason);
 
 /// What became of a request for a place.
-struct place_decision {
+struct scheduling_decision {
     std::uint64_t id = 0;
     bool granted = false;
     /// Where to run, when granted.
@@ -68,7 +68,7 @@
 };
 
 /// A generation that runs in the pool, as told by the instance that streams it.
-struct running_facts {
+struct generation_progress {
     std::uint64_t id = 0;
     std::string workspace;
     std::string backend;
@@ -107,21 +107,21 @@
 
     /// Queues a request; asked again with the same id, it only renews the interest. An immediate
     /// refusal is returned; grants come from `dispatch`.
-    std::optional<place_decision> submit(const place_request& request, time_point now);
+    std::optional<scheduling_decision> submit(const scheduling_request& request, time_point now);
     /// The caller of a waiting request is gone.
     void withdraw(std::uint64_t id);
     /// A grant was repeated because its answer may have been lost.
-    std::optional<place_decision> granted_before(std::uint64_t id) const;
+    std::optional<scheduling_decision> granted_before(std::uint64_t id) const;
     /// Output tokens so far of a running generation; facts of an unknown one are taken over.
-    void on_progress(const running_facts& facts, time_point now);
+    void on_progress(const generation_progress& facts, time_point now);
     void on_finished(std::uint64_t id, std::uint32_t tokens, generation_end end, time_point now);
     /// Grants and refusals due now. Call after every submit and at least every 20 ms.
-    std::vector<place_decision> dispatch(time_point now);
+    std::vector<scheduling_decision> dispatch(time_point now);
 
     std::size_t waiting() const { return queue_.size(); }
     std::size_t running() const { return running_.size(); }
     /// Standard deviations kept above the predicted mean.
-    double caution() const { return caution_; }
+    double margin_sigmas() const { return caution_; }
     const length_book& lengths() const { return lengths_; }
     const std::map<std::string, engine_view, std::less<>>& engines() const { return engines_; }
     /// Predicted wait of a new request of this workspace, priority and expected length.
@@ -132,7 +132,7 @@
 
 private:
     struct running_work {
-        running_facts facts;
+        generation_progress facts;
         length_key lengths{};
         double charged = 0.0;
         time_point granted_at{};
@@ -161,12 +161,12 @@
     choice choose_engine(const queued_work& work, time_point now);
     bool fits(const engine_view& engine, const memory_demand& demand) const;
     bool over_limit(const std::string& workspace) const;
-    bool dispatch_one(time_point now, std::vector<place_decision>& out);
+    bool dispatch_one(time_point now, std::vector<scheduling_decision>& out);
     void grant(const queued_work& work, engine_view& engine, time_point now,
-               std::vector<place_decision>& out);
-    void refuse_hopeless(time_point now, std::vector<place_decision>& out);
-    place_decision refuse(std::uint64_t id, const std::string& workspace, double tokens,
-                          refusal_reason reason, time_point now);
+               std::vector<scheduling_decision>& out);
+    void refuse_hopeless(time_point now, std::vector<scheduling_decision>& out);
+    scheduling_decision refuse(std::uint64_t id, const std::string& workspace, double tokens,
+                               refusal_reason reason, time_point now);
     void drop_silent(time_point now);
     void forget_running(std::uint64_t id);
     const workspace_limits& limits_of(const std::string& workspace) const;
--- a/bamboostream/src/Routing/engine_view.h
+++ b/bamboostream/src/Routing/engine_view.h
@@ -48,8 +48,8 @@
 
     /// Predicted peak with `candidate`, memory held by generations unknown to this scheduler
     /// included, in tokens.
-    double peak_with(const memory_demand& candidate, double caution) const {
-        return forecast_.peak_with(candidate, caution) + unknown_tokens_;
+    double peak_with(const memory_demand& candidate, double margin_sigmas) const {
+        return forecast_.peak_with(candidate, margin_sigmas) + unknown_tokens_;
     }
     /// Tokens of cache, as reported or assumed until the first report.
     double capacity() const { return report_.capacity_tokens; }
--- a/bamboostream/src/Routing/memory_forecast.cpp
+++ b/bamboostream/src/Routing/memory_forecast.cpp
@@ -44,11 +44,11 @@
     ++count_;
 }
 
-double memory_forecast::peak_with(const memory_demand& candidate, double caution) const {
+double memory_forecast::peak_with(const memory_demand& candidate, double margin_sigmas) const {
     double peak = 0.0;
     for (std::size_t i = 0; i < mean_.size(); ++i) {
         const double variance = variance_[i] + candidate.variance(i);
-        peak = std::max(peak, mean_[i] + candidate.mean(i) + caution * std::sqrt(variance));
+        peak = std::max(peak, mean_[i] + candidate.mean(i) + margin_sigmas * std::sqrt(variance));
     }
     return peak;
 }
--- a/bamboostream/src/Routing/memory_forecast.h
+++ b/bamboostream/src/Routing/memory_forecast.h
@@ -31,7 +31,7 @@
 };
 
 /// Predicts the highest use of an engine's cache memory by the generations running on it: the
-/// largest, over the moments ahead, of the expected sum plus `caution` standard deviations.
+/// largest, over the moments ahead, of the expected sum plus `margin_sigmas` standard deviations.
 ///
 /// Adding up the final sizes instead would count memory that is never in use at the same time;
 /// taking each generation at its median would leave out the tail that fills an engine.
@@ -41,9 +41,9 @@
 public:
     void clear();
     void add(const memory_demand& demand);
-    double peak(double caution) const { return peak_with({}, caution); }
+    double peak(double margin_sigmas) const { return peak_with({}, margin_sigmas); }
     /// The peak if `candidate` also ran. Constant time; allocates nothing.
-    double peak_with(const memory_demand& candidate, double caution) const;
+    double peak_with(const memory_demand& candidate, double margin_sigmas) const;
     std::size_t size() const { return count_; }
     /// Cache held now by all.
     double held() const { return mean_[0]; }
--- a/bamboostream/src/Routing/objective.h
+++ b/bamboostream/src/Routing/objective.h
@@ -20,9 +20,9 @@
     std::string_view name;
     /// Standard deviations that a predicted peak is taken above its mean. The figures are the knee
     /// of the curve of throughput over preemptions, see docs/design/unknown-lengths.md.
-    double caution = 1.8;
+    double margin_sigmas = 1.8;
     /// Most of it: preemptions beyond the expected few raise it, quiet lowers it again.
-    double most_caution = 4.0;
+    double max_margin_sigmas = 4.0;
     /// Prompt tokens that may be on their way to one engine without a first token yet. Prefill
     /// shares steps with decoding, so a pile of prompts is a gap in every stream of that engine.
     std::uint32_t prefill_in_flight = 8192;
--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -80,8 +80,8 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-place_request make_request(std::uint64_t id, const std::string& workspace) {
-    place_request r;
+scheduling_request make_request(std::uint64_t id, const std::string& workspace) {
+    scheduling_request r;
     r.id = id;
     r.workspace = workspace;
     r.prompt_tokens = 200;
--- a/bench/policy/simulation.cpp
+++ b/bench/policy/simulation.cpp
@@ -175,7 +175,7 @@
             recorder_.token(e.id, e.at);
             if (e.sequence == 0 && central()) {
                 // First tokens are told at once, as ends are.
-                running_facts facts;
+                generation_progress facts;
                 facts.id = e.id;
                 facts.tokens = 1;
                 queue_.at(now_ + ends_period / 2 + delay(),
@@ -240,7 +240,7 @@
         const std::size_t index = cut ? r.instance + 1 : 0;
         const time_point start_by = now_ + w_.deadline;
         queue_.at(now_ + (cut ? duration::zero() : delay()), [this, &r, index, start_by] {
-            place_request request;
+            scheduling_request request;
             request.id = r.id;
             request.workspace = fmt::format("w{}", r.workspace);
             request.kind = r.kind;
@@ -258,12 +258,12 @@
     }
 
     void dispatch(std::size_t index) {
-        for (const place_decision& decision : scheduler(index).dispatch(now_)) {
+        for (const scheduling_decision& decision : scheduler(index).dispatch(now_)) {
             take(index, decision);
         }
     }
 
-    void take(std::size_t index, const place_decision& decision) {
+    void take(std::size_t index, const scheduling_decision& decision) {
         const simulated_request& r = *by_id_.at(decision.id);
         interested_.erase(decision.id);
         pending_.erase(decision.id);
@@ -303,7 +303,7 @@
 
     void report_progress() {
         for (auto& [id, p] : placed_) {
-            running_facts facts;
+            generation_progress facts;
             facts.id = id;
             facts.tokens = p.tokens;
             queue_.at(now_ + delay(), [this, facts, index = p.scheduler] {
@@ -446,7 +446,7 @@
     std::unordered_map<std::uint64_t, const simulated_request*> by_id_;
     std::unordered_map<std::uint64_t, placed> placed_;
     std::unordered_map<std::uint64_t, std::size_t> interested_;
-    std::unordered_map<std::uint64_t, place_request> pending_;
+    std::unordered_map<std::uint64_t, scheduling_request> pending_;
     std::unordered_map<std::uint64_t, int> returns_;
     std::vector<std::vector<double>> outstanding_;
     std::vector<std::size_t> round_;
--- a/docs/examples/hold_back.cpp
+++ b/docs/examples/hold_back.cpp
@@ -14,7 +14,7 @@
     report.max_running = 64;
     scheduler.on_report("127.0.0.1:1", report, now);
     for (std::uint64_t id = 1; id <= 100; ++id) {
-        place_request request;
+        scheduling_request request;
         request.id = id;
         request.workspace = "desk";
         request.prompt_tokens = 200;
--- a/test/limits_test.cpp
+++ b/test/limits_test.cpp
@@ -154,8 +154,8 @@
             scheduler_.on_report(id, report, start);
         }
     }
-    place_request request(std::uint64_t id, const std::string& workspace = "a") const {
-        place_request r;
+    scheduling_request request(std::uint64_t id, const std::string& workspace = "a") const {
+        scheduling_request r;
         r.id = id;
         r.workspace = workspace;
         r.prompt_tokens = 200;
@@ -191,7 +191,7 @@
     for (std::uint64_t id = 1; id <= 20; ++id) {
         scheduler_.submit(request(id), start);
     }
-    for (const place_decision& decision : scheduler_.dispatch(start)) {
+    for (const scheduling_decision& decision : scheduler_.dispatch(start)) {
         EXPECT_EQ(decision.backend.text(), "e2");
     }
 }
