--- a/bamboostream/src/Control/frames.cpp
+++ b/bamboostream/src/Control/frames.cpp
@@ -64,17 +64,17 @@
     return static_cast<std::uint32_t>(to_milliseconds(std::min(age, duration(longest))));
 }
 
-wire::HarmReportT to_wire(std::span<const harm_evidence> evidence, time_point now) {
+wire::HarmReportT to_wire(std::span<const crash_evidence> evidence, time_point now) {
     wire::HarmReportT report;
-    for (const harm_evidence& it : evidence) {
+    for (const crash_evidence& it : evidence) {
         report.entries.emplace_back(it.request.high, it.request.low, it.server, it.caller,
                                     age_on_wire(now - it.at), it.answering, it.cleared);
     }
     return report;
 }
 
-std::vector<harm_evidence> from_wire(const wire::HarmReportT& report, time_point now) {
-    std::vector<harm_evidence> out;
+std::vector<crash_evidence> from_wire(const wire::HarmReportT& report, time_point now) {
+    std::vector<crash_evidence> out;
     for (const wire::HarmEntry& entry : report.entries) {
         out.push_back({{entry.high(), entry.low()},
                        entry.server(),
--- a/bamboostream/src/Control/frames.h
+++ b/bamboostream/src/Control/frames.h
@@ -37,7 +37,7 @@
 std::uint32_t age_on_wire(duration age);
 
 /// Evidence against requests that end backend servers.
-wire::HarmReportT to_wire(std::span<const harm_evidence> evidence, time_point now);
-std::vector<harm_evidence> from_wire(const wire::HarmReportT& report, time_point now);
+wire::HarmReportT to_wire(std::span<const crash_evidence> evidence, time_point now);
+std::vector<crash_evidence> from_wire(const wire::HarmReportT& report, time_point now);
 
 } // namespace bamboostream
--- a/bamboostream/src/Control/quarantine_exchange.cpp
+++ b/bamboostream/src/Control/quarantine_exchange.cpp
@@ -36,7 +36,7 @@
     asio::co_spawn(context_, catch_up_loop(), asio::detached);
 }
 
-void quarantine_exchange::note(const harm_evidence& evidence) {
+void quarantine_exchange::note(const crash_evidence& evidence) {
     unannounced_.push_back(evidence);
     due_.cancel();
 }
@@ -47,7 +47,7 @@
             co_await wait_on(due_, monotonic_now() + idle_wait);
         }
         co_await pause_for(gather_time);
-        const std::vector<harm_evidence> evidence = std::exchange(unannounced_, {});
+        const std::vector<crash_evidence> evidence = std::exchange(unannounced_, {});
         if (!evidence.empty()) {
             links_.send_to_each(membership_.usable_peers(),
                                 make_frame(to_wire(evidence, monotonic_now())));
@@ -86,7 +86,7 @@
 
 std::unique_ptr<wire::FrameT> quarantine_exchange::answer(const wire::HarmRequestT& request) const {
     const request_quarantine& own = quarantine_.decisions();
-    std::vector<harm_evidence> evidence;
+    std::vector<crash_evidence> evidence;
     if (request.fingerprint != own.fingerprint()) {
         evidence = own.suspicious_evidence();
     }
--- a/bamboostream/src/Control/quarantine_exchange.h
+++ b/bamboostream/src/Control/quarantine_exchange.h
@@ -33,7 +33,7 @@
 
     void start();
     /// Evidence that this instance has found or cleared.
-    void note(const harm_evidence& evidence);
+    void note(const crash_evidence& evidence);
     /// Takes what a peer announces or answers.
     void hear(const wire::HarmReportT& report);
     /// What decides of the evidence here, unless the peer that asks has the same.
@@ -48,7 +48,7 @@
     link_hub& links_;
     membership_service& membership_;
     quarantine_registry& quarantine_;
-    std::vector<harm_evidence> unannounced_;
+    std::vector<crash_evidence> unannounced_;
     boost::asio::steady_timer due_;
     std::mt19937_64 random_;
 };
--- a/bamboostream/src/Control/quarantine_service.cpp
+++ b/bamboostream/src/Control/quarantine_service.cpp
@@ -21,10 +21,10 @@
 quarantine_service::quarantine_service(asio::io_context& context, link_hub& links,
                                        membership_service& membership)
     : context_(context), membership_(membership), exchange_(context, links, membership, registry_) {
-    registry_.on_evidence([this](const harm_evidence& it) { exchange_.note(it); });
-    registry_.set_server_names([this](std::uint64_t life) {
+    registry_.on_evidence([this](const crash_evidence& it) { exchange_.note(it); });
+    registry_.set_server_name_lookup([this](std::uint64_t life) {
         for (const backend_facts& it : membership_.backends().all()) {
-            if (life_key(it.id.text(), it.start_stamp) == life) {
+            if (incarnation_key(it.id.text(), it.start_stamp) == life) {
                 return it.id.text();
             }
         }
@@ -74,13 +74,13 @@
     if (leaving || (process != process_state::ended && !restarted)) {
         co_return;
     }
-    harm_evidence evidence;
+    crash_evidence evidence;
     evidence.request = run.request;
-    evidence.server = life_key(run.server.text(), run.start_stamp);
+    evidence.server = incarnation_key(run.server.text(), run.start_stamp);
     evidence.caller = stable_hash(run.workspace);
     evidence.at = lost_at;
     evidence.answering = run.answering;
-    registry_.note_own(evidence, monotonic_now());
+    registry_.add_local_evidence(evidence, monotonic_now());
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -238,13 +238,13 @@
     if (process != process_state::ended || leaving) {
         co_return;
     }
-    harm_evidence evidence;
+    crash_evidence evidence;
     evidence.request = digest();
-    evidence.server = life_key(sent_to_.id.text(), sent_to_.started_ms);
+    evidence.server = incarnation_key(sent_to_.id.text(), sent_to_.started_ms);
     evidence.caller = stable_hash(workspace_ ? workspace_->text() : "");
     evidence.at = lost_at;
     evidence.answering = answer_begun_;
-    state_.quarantine.note_own(evidence, monotonic_now());
+    state_.quarantine.add_local_evidence(evidence, monotonic_now());
 }
 
 /// An engine whose memory is full keeps a prompt waiting for that, which says nothing of reading.
--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -119,7 +119,7 @@
 gateway::parts::~parts() {
     forwarding.scheduler = nullptr;
     forwarding.on_generation_change = nullptr;
-    forwarding.quarantine.detach();
+    forwarding.quarantine.clear_listeners();
     forwarding.on_registry_change = nullptr;
 }
 
@@ -185,12 +185,12 @@
 }
 
 void gateway::parts::connect_quarantine() {
-    forwarding.quarantine.on_evidence([this](const harm_evidence& it) { quarantine->note(it); });
+    forwarding.quarantine.on_evidence([this](const crash_evidence& it) { quarantine->note(it); });
     forwarding.quarantine.on_change([this](const request_digest& it) { keeper->note_change(it); });
-    forwarding.quarantine.set_server_names([this](std::uint64_t life) {
+    forwarding.quarantine.set_server_name_lookup([this](std::uint64_t life) {
         const registered_backend* known =
             forwarding.registry.find_if([life](const registered_backend& it) {
-                return life_key(it.id.text(), it.started_ms) == life;
+                return incarnation_key(it.id.text(), it.started_ms) == life;
             });
         return known != nullptr ? known->id.text() : std::string();
     });
--- a/bamboostream/src/Gateway/quarantine_keeper.cpp
+++ b/bamboostream/src/Gateway/quarantine_keeper.cpp
@@ -31,10 +31,10 @@
 
 } // namespace
 
-std::string write_evidence(std::span<const harm_evidence> evidence, time_point now,
+std::string write_evidence(std::span<const crash_evidence> evidence, time_point now,
                            std::int64_t wall_now_ms) {
     json::array entries;
-    for (const harm_evidence& it : evidence) {
+    for (const crash_evidence& it : evidence) {
         const auto age = std::chrono::duration_cast<milliseconds>(now - it.at);
         entries.push_back(json::object{{"server", fmt::format("{:016x}", it.server)},
                                        {"caller", fmt::format("{:016x}", it.caller)},
@@ -45,8 +45,8 @@
     return json::serialize(json::object{{"evidence", std::move(entries)}});
 }
 
-std::optional<std::vector<harm_evidence>> read_evidence(const keyed_record& record, time_point now,
-                                                        std::int64_t wall_now_ms) {
+std::optional<std::vector<crash_evidence>> read_evidence(const keyed_record& record, time_point now,
+                                                         std::int64_t wall_now_ms) {
     const auto request = request_digest::parse(record.key);
     std::string why;
     const auto document = parse_json(record.value, why);
@@ -60,7 +60,7 @@
         const json::value* flag = fields ? fields->if_contains(key) : nullptr;
         return flag != nullptr && flag->is_bool() && flag->get_bool();
     };
-    std::vector<harm_evidence> out;
+    std::vector<crash_evidence> out;
     for (const json::value& entry : entries->get_array()) {
         const std::int64_t age = std::max<std::int64_t>(wall_now_ms - number_at(entry, "at_ms"), 0);
         out.push_back({*request, parse_hexadecimal(text_at(entry, "server")).value_or(0),
--- a/bamboostream/src/Gateway/quarantine_keeper.h
+++ b/bamboostream/src/Gateway/quarantine_keeper.h
@@ -19,11 +19,11 @@
 
 /// The evidence against one request as a record in the store. Times are wall times, since the
 /// instances that read it may have started since.
-std::string write_evidence(std::span<const harm_evidence> evidence, time_point now,
+std::string write_evidence(std::span<const crash_evidence> evidence, time_point now,
                            std::int64_t wall_now_ms);
 /// Nothing when the record can't be read.
-std::optional<std::vector<harm_evidence>> read_evidence(const keyed_record& record, time_point now,
-                                                        std::int64_t wall_now_ms);
+std::optional<std::vector<crash_evidence>> read_evidence(const keyed_record& record, time_point now,
+                                                         std::int64_t wall_now_ms);
 
 /// Keeps held requests in the platform's store, so that they survive the end of all instances.
 ///
--- a/bamboostream/src/Limits/quarantine_registry.cpp
+++ b/bamboostream/src/Limits/quarantine_registry.cpp
@@ -13,14 +13,14 @@
 
 } // namespace
 
-void quarantine_registry::take(std::span<const harm_evidence> evidence, std::string_view origin,
+void quarantine_registry::take(std::span<const crash_evidence> evidence, std::string_view origin,
                                time_point now) {
     if (quarantine_.note(evidence, now)) {
         carry_out_changes(origin, now);
     }
 }
 
-void quarantine_registry::note_own(harm_evidence evidence, time_point now) {
+void quarantine_registry::add_local_evidence(crash_evidence evidence, time_point now) {
     evidence.cleared = evidence.cleared || answers_.has(evidence.request, now);
     take({&evidence, 1}, "own", now);
     announce(evidence);
@@ -36,7 +36,7 @@
         return;
     }
     carry_out_changes("answered", now);
-    for (const harm_evidence& evidence : quarantine_.evidence_of(request)) {
+    for (const crash_evidence& evidence : quarantine_.evidence_of(request)) {
         announce(evidence);
     }
 }
@@ -46,13 +46,13 @@
     carry_out_changes("expired", now);
 }
 
-void quarantine_registry::detach() {
+void quarantine_registry::clear_listeners() {
     on_evidence_ = nullptr;
     on_change_ = nullptr;
     names_ = nullptr;
 }
 
-void quarantine_registry::announce(const harm_evidence& evidence) const {
+void quarantine_registry::announce(const crash_evidence& evidence) const {
     if (on_evidence_) {
         on_evidence_(evidence);
     }
@@ -60,7 +60,7 @@
 
 std::string quarantine_registry::servers_of(const request_digest& request) const {
     std::string out;
-    for (const harm_evidence& evidence : quarantine_.evidence_of(request)) {
+    for (const crash_evidence& evidence : quarantine_.evidence_of(request)) {
         if (evidence.cleared) {
             continue;
         }
--- a/bamboostream/src/Limits/quarantine_registry.h
+++ b/bamboostream/src/Limits/quarantine_registry.h
@@ -28,10 +28,10 @@
 ///
 /// Listeners are called in the thread of the call that changes the quarantine. Lives on one thread.
 ///
-/// Example: `registry.note_own(evidence, now); if (registry.holds(digest)) refuse();`
+/// Example: `registry.add_local_evidence(evidence, now); if (registry.holds(digest)) refuse();`
 class quarantine_registry {
 public:
-    using evidence_listener = std::function<void(const harm_evidence&)>;
+    using evidence_listener = std::function<void(const crash_evidence&)>;
     using change_listener = std::function<void(const request_digest&)>;
     /// The name of a server in logs, by the key of its life; empty when it is not known.
     using server_names = std::function<std::string(std::uint64_t)>;
@@ -46,10 +46,10 @@
     const request_quarantine& decisions() const { return quarantine_; }
 
     /// Adds evidence. `origin` names its source in logs: "peer" or "store".
-    void take(std::span<const harm_evidence> evidence, std::string_view origin, time_point now);
+    void take(std::span<const crash_evidence> evidence, std::string_view origin, time_point now);
     /// Adds evidence that this instance has found, and announces it. It doesn't count when the
     /// request was answered here a short time ago.
-    void note_own(harm_evidence evidence, time_point now);
+    void add_local_evidence(crash_evidence evidence, time_point now);
     /// Whether an answer to a request of so many bytes is worth its digest: while there is any
     /// evidence, and for short requests, which are those that many attempts ask for.
     bool wants_answer(std::size_t request_bytes) const;
@@ -67,13 +67,13 @@
     void on_evidence(evidence_listener listener) { on_evidence_ = std::move(listener); }
     /// Called when a request is held from now on, or no longer.
     void on_change(change_listener listener) { on_change_ = std::move(listener); }
-    void set_server_names(server_names names) { names_ = std::move(names); }
+    void set_server_name_lookup(server_names names) { names_ = std::move(names); }
     /// Drops the listeners, before what they refer to ends.
-    void detach();
+    void clear_listeners();
 
 private:
     void carry_out_changes(std::string_view origin, time_point now);
-    void announce(const harm_evidence& evidence) const;
+    void announce(const crash_evidence& evidence) const;
     /// The servers that count against a request.
     std::string servers_of(const request_digest& request) const;
 
--- a/bamboostream/src/Limits/request_quarantine.cpp
+++ b/bamboostream/src/Limits/request_quarantine.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-std::uint64_t fingerprint_of(const harm_evidence& evidence) {
+std::uint64_t fingerprint_of(const crash_evidence& evidence) {
     const std::uint64_t server = evidence.cleared ? ~evidence.server : evidence.server;
     return stable_hash(evidence.request.text(), server);
 }
 
 } // namespace
 
-std::uint64_t life_key(std::string_view server, std::int64_t start_stamp) {
+std::uint64_t incarnation_key(std::string_view server, std::int64_t start_stamp) {
     return stable_hash(server, static_cast<std::uint64_t>(start_stamp));
 }
 
@@ -29,13 +29,13 @@
 }
 
 time_point request_quarantine::lapses_at(evidence_map::const_iterator which) const {
-    const harm_evidence& evidence = which->second;
+    const crash_evidence& evidence = which->second;
     const bool counts = !evidence.cleared && is_suspicious(which);
     const bool kept = counts || holds(evidence.request);
     return evidence.at + (kept ? duration(rules_.hold) : duration(rules_.suspicion));
 }
 
-request_quarantine::effect request_quarantine::record(const harm_evidence& evidence,
+request_quarantine::effect request_quarantine::record(const crash_evidence& evidence,
                                                       time_point now) {
     const evidence_key key{evidence.request, evidence.server};
     if (const auto known = evidence_.find(key); known != evidence_.end()) {
@@ -56,9 +56,9 @@
     return enough ? effect::decides : effect::recorded;
 }
 
-bool request_quarantine::note(std::span<const harm_evidence> evidence, time_point now) {
+bool request_quarantine::note(std::span<const crash_evidence> evidence, time_point now) {
     effect strongest = effect::none;
-    for (const harm_evidence& it : evidence) {
+    for (const crash_evidence& it : evidence) {
         strongest = std::max(strongest, record(it, now));
     }
     if (strongest == effect::decides) {
@@ -68,8 +68,8 @@
 }
 
 bool request_quarantine::clear(const request_digest& request, time_point now) {
-    std::vector<harm_evidence> against = evidence_of(request);
-    for (harm_evidence& evidence : against) {
+    std::vector<crash_evidence> against = evidence_of(request);
+    for (crash_evidence& evidence : against) {
         evidence.cleared = true;
     }
     return note(against, now);
@@ -135,7 +135,7 @@
     time_point last = time_point::min();
     const auto [begin, end] = range_of(request);
     for (auto it = begin; it != end; ++it) {
-        const harm_evidence& evidence = it->second;
+        const crash_evidence& evidence = it->second;
         if (evidence.cleared) {
             continue;
         }
@@ -211,16 +211,16 @@
     return out;
 }
 
-std::vector<harm_evidence> request_quarantine::evidence() const {
-    std::vector<harm_evidence> out;
+std::vector<crash_evidence> request_quarantine::evidence() const {
+    std::vector<crash_evidence> out;
     for (const auto& [key, evidence] : evidence_) {
         out.push_back(evidence);
     }
     return out;
 }
 
-std::vector<harm_evidence> request_quarantine::suspicious_evidence() const {
-    std::vector<harm_evidence> out;
+std::vector<crash_evidence> request_quarantine::suspicious_evidence() const {
+    std::vector<crash_evidence> out;
     for (auto it = evidence_.cbegin(); it != evidence_.cend(); ++it) {
         if (is_suspicious(it)) {
             out.push_back(it->second);
@@ -231,14 +231,14 @@
 
 std::uint64_t request_quarantine::fingerprint() const {
     std::uint64_t out = 0;
-    for (const harm_evidence& evidence : suspicious_evidence()) {
+    for (const crash_evidence& evidence : suspicious_evidence()) {
         out ^= fingerprint_of(evidence);
     }
     return out;
 }
 
-std::vector<harm_evidence> request_quarantine::evidence_of(const request_digest& request) const {
-    std::vector<harm_evidence> out;
+std::vector<crash_evidence> request_quarantine::evidence_of(const request_digest& request) const {
+    std::vector<crash_evidence> out;
     const auto [begin, end] = range_of(request);
     for (auto it = begin; it != end; ++it) {
         out.push_back(it->second);
--- a/bamboostream/src/Limits/request_quarantine.h
+++ b/bamboostream/src/Limits/request_quarantine.h
@@ -17,10 +17,10 @@
 namespace bamboostream {
 
 /// Names one life of a server in evidence: a server may start again under the name that it had.
-std::uint64_t life_key(std::string_view server, std::int64_t start_stamp);
+std::uint64_t incarnation_key(std::string_view server, std::int64_t start_stamp);
 
 /// A request that was open on a backend server when the server's process ended.
-struct harm_evidence {
+struct crash_evidence {
     request_digest request;
     /// One life of one server.
     std::uint64_t server = 0;
@@ -69,8 +69,8 @@
     explicit request_quarantine(quarantine_rules rules = {}) : rules_(rules) {}
 
     /// Takes evidence of this or another instance; false when all of it was known.
-    bool note(std::span<const harm_evidence> evidence, time_point now);
-    bool note(const harm_evidence& evidence, time_point now) { return note({&evidence, 1}, now); }
+    bool note(std::span<const crash_evidence> evidence, time_point now);
+    bool note(const crash_evidence& evidence, time_point now) { return note({&evidence, 1}, now); }
     /// A request of this digest got its whole answer. True when that cleared any evidence.
     bool clear(const request_digest& request, time_point now);
     /// Drops evidence that is too old.
@@ -84,10 +84,10 @@
     /// Requests that are held or no longer held since the last call.
     std::vector<request_digest> take_changes();
 
-    std::vector<harm_evidence> evidence() const;
+    std::vector<crash_evidence> evidence() const;
     /// Evidence against requests that several servers ended under: little, and all that decides.
-    std::vector<harm_evidence> suspicious_evidence() const;
-    std::vector<harm_evidence> evidence_of(const request_digest& request) const;
+    std::vector<crash_evidence> suspicious_evidence() const;
+    std::vector<crash_evidence> evidence_of(const request_digest& request) const;
     /// Equal on instances that have the same suspicious evidence.
     std::uint64_t fingerprint() const;
     std::size_t held() const { return held_.size(); }
@@ -96,7 +96,7 @@
 private:
     /// A request and a server.
     using evidence_key = std::pair<request_digest, std::uint64_t>;
-    using evidence_map = std::map<evidence_key, harm_evidence>;
+    using evidence_map = std::map<evidence_key, crash_evidence>;
     /// How much speaks against a request; the greater is held first.
     struct charge {
         std::size_t servers = 0;
@@ -114,7 +114,7 @@
     void judge();
     /// What a piece of evidence changes: nothing, the evidence, or possibly what is held.
     enum class effect : std::uint8_t { none, recorded, decides };
-    effect record(const harm_evidence& evidence, time_point now);
+    effect record(const crash_evidence& evidence, time_point now);
     void make_room(std::uint64_t caller);
     /// Whether there is evidence of another server against the same request.
     bool is_suspicious(evidence_map::const_iterator which) const;
--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -203,8 +203,8 @@
 }
 
 /// Three engines end one after another under the same requests, as after the loss of three racks.
-std::vector<harm_evidence> evidence_of_bystanders(int requests) {
-    std::vector<harm_evidence> out;
+std::vector<crash_evidence> evidence_of_bystanders(int requests) {
+    std::vector<crash_evidence> out;
     for (std::uint64_t server = 0; server < 3; ++server) {
         for (int i = 0; i < requests; ++i) {
             const auto number = static_cast<std::uint64_t>(i);
@@ -222,7 +222,7 @@
 slope quarantine_report() {
     slope out{"quarantine_report", "us", "request on three servers that ended", {}, {}};
     for (const int requests : {100, 400, 1'600}) {
-        const std::vector<harm_evidence> report = evidence_of_bystanders(requests);
+        const std::vector<crash_evidence> report = evidence_of_bystanders(requests);
         out.sizes.push_back(requests);
         out.values.push_back(best_us(5, [&] {
             request_quarantine quarantine;
--- a/test/platform/peer_group.cpp
+++ b/test/platform/peer_group.cpp
@@ -99,7 +99,7 @@
     owner = std::make_unique<pool_owner>(links, *membership, forwarding);
     quarantine =
         std::make_unique<quarantine_exchange>(context, links, *membership, forwarding.quarantine);
-    forwarding.quarantine.on_evidence([this](const harm_evidence& it) { quarantine->note(it); });
+    forwarding.quarantine.on_evidence([this](const crash_evidence& it) { quarantine->note(it); });
     peers = std::make_unique<peer_exchange>(context, links, *membership, forwarding, *news, *spread,
                                             *owner, *quarantine);
     membership->start();
--- a/test/platform/quarantine_exchange_test.cpp
+++ b/test/platform/quarantine_exchange_test.cpp
@@ -12,8 +12,8 @@
 
 void find_evidence(peer_instance& by, std::uint64_t server, milliseconds ago) {
     const time_point now = monotonic_now();
-    const harm_evidence evidence{harmful, server, 7, now - ago, true, false};
-    by.forwarding.quarantine.note_own(evidence, now);
+    const crash_evidence evidence{harmful, server, 7, now - ago, true, false};
+    by.forwarding.quarantine.add_local_evidence(evidence, now);
 }
 
 std::size_t holding(const peer_group& group) {
--- a/test/platform/quarantine_keeper_test.cpp
+++ b/test/platform/quarantine_keeper_test.cpp
@@ -75,7 +75,7 @@
 
 TEST(quarantine_records, keep_age_and_what_was_seen) {
     const time_point now = monotonic_now();
-    const harm_evidence written{harmful, 11, 12, now - milliseconds(700), true, false};
+    const crash_evidence written{harmful, 11, 12, now - milliseconds(700), true, false};
     const std::string value = write_evidence({&written, 1}, now, wall);
     const time_point later = now + seconds(5);
     const auto read = read_evidence({harmful.text(), value}, later, wall + 5'000);
@@ -110,9 +110,9 @@
         peer_instance& finder = *group_.all.front();
         for (std::uint64_t server = 1; server <= 3; ++server) {
             const time_point now = monotonic_now();
-            const harm_evidence evidence{harmful, server, 7, now - milliseconds(400 * server),
-                                         true,    false};
-            finder.forwarding.quarantine.note_own(evidence, now);
+            const crash_evidence evidence{harmful, server, 7, now - milliseconds(400 * server),
+                                          true,    false};
+            finder.forwarding.quarantine.add_local_evidence(evidence, now);
         }
     }
 
@@ -148,7 +148,7 @@
 
 // Guards against instances that forget, after a start of all, what the store has.
 TEST_F(quarantine_keeper_test, a_start_of_all_knows_what_the_store_has) {
-    std::vector<harm_evidence> evidence;
+    std::vector<crash_evidence> evidence;
     const time_point now = monotonic_now();
     for (std::uint64_t server = 1; server <= 3; ++server) {
         evidence.push_back({harmful, server, 7, now - milliseconds(400 * server), true, false});
--- a/test/quarantine_load_test.cpp
+++ b/test/quarantine_load_test.cpp
@@ -173,7 +173,7 @@
         const std::uint64_t life = std::exchange(it.life, ++lives_);
         it.down_until = now_ + engine_restart_ms;
         for (const running& w : work) {
-            harm_evidence seen;
+            crash_evidence seen;
             seen.request = w.digest;
             seen.server = life;
             seen.caller = w.digest.high;
--- a/test/request_quarantine_test.cpp
+++ b/test/request_quarantine_test.cpp
@@ -17,8 +17,8 @@
     return {which, which};
 }
 
-harm_evidence seen(std::uint64_t request, std::uint64_t server, int at_ms, bool answering = true) {
-    harm_evidence out;
+crash_evidence seen(std::uint64_t request, std::uint64_t server, int at_ms, bool answering = true) {
+    crash_evidence out;
     out.request = digest(request);
     out.server = server;
     out.caller = request;
@@ -29,7 +29,7 @@
 
 struct quarantine_row {
     std::string name;
-    std::vector<harm_evidence> evidence;
+    std::vector<crash_evidence> evidence;
     std::vector<std::uint64_t> held;
 };
 
@@ -85,12 +85,12 @@
 // Guards against instances that hold different requests because evidence came in another order or
 // more than once.
 TEST_P(quarantine, holds_the_same_in_any_order_and_with_repeats) {
-    std::vector<harm_evidence> evidence = GetParam().evidence;
+    std::vector<crash_evidence> evidence = GetParam().evidence;
     std::mt19937 random(1);
     std::uint64_t fingerprint = 0;
     for (int i = 0; i < 20; ++i) {
         request_quarantine quarantine;
-        for (const harm_evidence& it : evidence) {
+        for (const crash_evidence& it : evidence) {
             quarantine.note(it, start + seconds(6));
             quarantine.note(it, start + seconds(6));
         }
@@ -124,7 +124,7 @@
 TEST(quarantine_evidence, that_is_told_as_cleared_is_never_counted) {
     request_quarantine quarantine;
     for (std::uint64_t server = 1; server <= 3; ++server) {
-        harm_evidence cleared = seen(1, server, static_cast<int>(server) * 400);
+        crash_evidence cleared = seen(1, server, static_cast<int>(server) * 400);
         cleared.cleared = true;
         quarantine.note(cleared, start + seconds(2));
         cleared.cleared = false;
@@ -165,7 +165,7 @@
     request_quarantine one = with_one_held();
     request_quarantine other = with_one_held();
     for (std::uint64_t i = 0; i < 1'000; ++i) {
-        harm_evidence single = seen(100 + i, 50, 2'000 + static_cast<int>(i));
+        crash_evidence single = seen(100 + i, 50, 2'000 + static_cast<int>(i));
         single.caller = 1;
         one.note(single, start + seconds(4));
     }
@@ -177,7 +177,7 @@
 TEST(quarantine_evidence, of_one_caller_is_bounded) {
     request_quarantine quarantine = with_one_held();
     for (std::uint64_t i = 0; i < 1'000; ++i) {
-        harm_evidence other = seen(100 + i, 50, 2'000);
+        crash_evidence other = seen(100 + i, 50, 2'000);
         other.caller = 99;
         quarantine.note(other, start + seconds(3));
     }
--- a/tools/prove.sh
+++ b/tools/prove.sh
@@ -169,6 +169,6 @@
 prove explained_by_digest $s/Report/explanation.cpp 'if (own || of_content ||' 'if (own || (false && of_content) ||' 'explanation'
 prove own_calls_held $s/Entry/service_handler.cpp 'const bool held = quarantine.any() && quarantine.holds(digest());' 'const bool held = false;' 'harmful_call'
 prove own_generations_held $s/Entry/completion_handler.cpp 'return core_.quarantine->any() && core_.quarantine->holds(digest());' 'return false;' 'harmful_call'
-prove own_evidence_announced $s/Control/quarantine_service.cpp 'registry_.on_evidence([this](const harm_evidence& it) { exchange_.note(it); });' '' 'harmful_call'
+prove own_evidence_announced $s/Control/quarantine_service.cpp 'registry_.on_evidence([this](const crash_evidence& it) { exchange_.note(it); });' '' 'harmful_call'
 prove own_evidence_heard $s/Entry/instance.cpp 'core.quarantine->hear(*frame->message.AsHarmReport());' '' 'harmful_call'
 exit $bad
