--- a/bamboostream/src/Lengths/length_book.cpp
+++ b/bamboostream/src/Lengths/length_estimator.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Lengths/length_book.h"
+#include "bamboostream/src/Lengths/length_estimator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -41,7 +41,7 @@
 
 } // namespace
 
-std::uint32_t length_book::table_index(const std::string& name) {
+std::uint32_t length_estimator::table_index(const std::string& name) {
     const auto [found, is_new] =
         table_index_.try_emplace(name, static_cast<std::uint32_t>(tables_.size()));
     if (is_new) {
@@ -50,7 +50,7 @@
     return found->second;
 }
 
-length_key length_book::key(const length_subject& subject) {
+length_key length_estimator::key(const length_subject& subject) {
     const bool full = entries_.size() >= most_subjects;
     const std::string kind = fmt::format("{}\x1f{}", subject.model, subject.kind);
     const std::string name = full ? kind : fmt::format("{}\x1f{}", kind, subject.workspace);
@@ -64,7 +64,7 @@
     return length_key{found->second};
 }
 
-void length_book::progressed(length_key key, std::uint32_t from, std::uint32_t to) {
+void length_estimator::progressed(length_key key, std::uint32_t from, std::uint32_t to) {
     if (life_table::bin_of(from) == life_table::bin_of(to)) {
         return;
     }
@@ -75,7 +75,7 @@
     ++e.changes;
 }
 
-void length_book::finished(length_key key, std::uint32_t tokens) {
+void length_estimator::finished(length_key key, std::uint32_t tokens) {
     entry& e = entries_[static_cast<std::uint32_t>(key)];
     e.own.ended(tokens);
     tables_[e.kind].ended(tokens);
@@ -84,7 +84,7 @@
     ++e.ended;
 }
 
-const length_curve& length_book::curve_of(length_key key) const {
+const length_curve& length_estimator::curve_of(length_key key) const {
     const entry& e = entries_[static_cast<std::uint32_t>(key)];
     if (e.changes > std::min(changes_a_curve, e.ended / 4)) {
         hazards chances{};
@@ -99,12 +99,12 @@
     return e.curve;
 }
 
-double length_book::remaining(length_key key, std::uint32_t reached, double q) const {
+double length_estimator::remaining(length_key key, std::uint32_t reached, double q) const {
     return curve_of(key).conditional_quantile(reached, q) - reached;
 }
 
-void length_book::survival_ahead(length_key key, double reached, std::span<const double> ahead,
-                                 std::span<double> out) const {
+void length_estimator::survival_ahead(length_key key, double reached, std::span<const double> ahead,
+                                      std::span<double> out) const {
     const length_curve& known = curve_of(key);
     const double now = reached + 0.5;
     const double alive = known.survival(now);
@@ -114,7 +114,7 @@
     }
 }
 
-double length_book::expected(length_key key) const {
+double length_estimator::expected(length_key key) const {
     return curve_of(key).mean();
 }
 
--- a/bamboostream/src/Lengths/length_book.h
+++ b/bamboostream/src/Lengths/length_estimator.h
@@ -28,7 +28,7 @@
 /// beyond that they share one entry a model.
 ///
 /// Example: `book.remaining(book.key({"acme", "m1", "label"}), 12, 0.5)`.
-class length_book {
+class length_estimator {
 public:
     /// The handle of a subject, created when new.
     length_key key(const length_subject& subject);
--- a/bamboostream/src/Lengths/life_table.h
+++ b/bamboostream/src/Lengths/life_table.h
@@ -14,7 +14,7 @@
 /// counts of a bin are bounded, so it follows a change of workload within a few hundred outputs.
 ///
 /// Example: `t.passed(0, 130); t.ended(130);`
-/// See also `length_curve`, which answers questions, and `length_book`, which combines tables.
+/// See also `length_curve`, which answers questions, and `length_estimator`, which combines tables.
 class life_table {
 public:
     /// Bins grow by a factor of 2^(1/4); the last one is open.
--- a/bamboostream/src/Limits/fair_queue.h
+++ b/bamboostream/src/Limits/fair_queue.h
@@ -2,7 +2,7 @@
 
 #include "bamboostream/src/Core/clock.h"
 #include "bamboostream/src/Core/identities.h"
-#include "bamboostream/src/Lengths/length_book.h"
+#include "bamboostream/src/Lengths/length_estimator.h"
 
 #include <array>
 #include <cstdint>
--- a/bamboostream/src/Limits/pool_scheduler.h
+++ b/bamboostream/src/Limits/pool_scheduler.h
@@ -2,7 +2,7 @@
 
 #include "bamboostream/src/Core/clock.h"
 #include "bamboostream/src/Core/identities.h"
-#include "bamboostream/src/Lengths/length_book.h"
+#include "bamboostream/src/Lengths/length_estimator.h"
 #include "bamboostream/src/Limits/fair_queue.h"
 #include "bamboostream/src/Limits/return_schedule.h"
 #include "bamboostream/src/Limits/service_rate.h"
@@ -122,7 +122,7 @@
     std::size_t running() const { return running_.size(); }
     /// Standard deviations kept above the predicted mean.
     double margin_sigmas() const { return caution_; }
-    const length_book& lengths() const { return lengths_; }
+    const length_estimator& lengths() const { return lengths_; }
     const std::map<std::string, engine_view, std::less<>>& engines() const { return engines_; }
     /// Predicted wait of a new request of this workspace, priority and expected length.
     duration predicted_wait(std::string_view workspace, priority_level priority,
@@ -176,7 +176,7 @@
     std::mt19937_64 random_;
     double capacity_share_ = 1.0;
     double caution_;
-    length_book lengths_;
+    length_estimator lengths_;
     fair_queue queue_;
     return_schedule returns_;
     internal::service_rate rate_;
--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -462,7 +462,7 @@
     slope out{"lengths_memory", "bytes", "subject", {}, {}};
     for (const int subjects : {100, 1'000, 7'000}) {
         const double before = heap_bytes();
-        length_book book;
+        length_estimator book;
         for (int i = 0; i < subjects; ++i) {
             book.finished(book.key({fmt::format("w{}", i), "m", "k"}), 100);
         }
--- a/test/lengths_test.cpp
+++ b/test/lengths_test.cpp
@@ -24,7 +24,7 @@
 // Quantiles must hold what they promise for fresh outputs, from the start and on the way.
 TEST_P(coverage_test, quantiles_cover_fresh_outputs) {
     std::mt19937_64 random(5);
-    length_book book;
+    length_estimator book;
     const length_key key = book.key({"w", "m", "k"});
     for (int i = 0; i < 1500; ++i) {
         const std::uint32_t tokens = draw(GetParam(), random);
@@ -59,7 +59,7 @@
 // While short outputs have ended and long ones still run, the estimate must not fall for the short
 // ones: running outputs count as far as they have come.
 TEST(life_table_test, running_outputs_are_not_forgotten) {
-    length_book book;
+    length_estimator book;
     const length_key key = book.key({"w", "m", "k"});
     for (int i = 0; i < 100; ++i) {
         book.progressed(key, 0, 20);
@@ -71,7 +71,7 @@
 }
 
 TEST(life_table_test, a_new_workspace_leans_on_its_kind) {
-    length_book book;
+    length_estimator book;
     const length_key old_key = book.key({"w1", "m", "label"});
     for (int i = 0; i < 200; ++i) {
         book.progressed(old_key, 0, 12);
@@ -83,7 +83,7 @@
 
 TEST(life_table_test, a_sudden_change_is_followed) {
     std::mt19937_64 random(3);
-    length_book book;
+    length_estimator book;
     const length_key key = book.key({"w", "m", "k"});
     for (int i = 0; i < 1000; ++i) {
         book.progressed(key, 0, 50);
