--- a/bamboostream/src/Evacuation/move_plan.h
+++ b/bamboostream/src/Evacuation/move_plan.h
@@ -2,7 +2,7 @@
 
 #include "bamboostream/src/Forwarding/active_streams.h"
 #include "bamboostream/src/Membership/backend_registry.h"
-#include "bamboostream/src/Routing/load_book.h"
+#include "bamboostream/src/Routing/load_table.h"
 
 #include <optional>
 #include <span>
--- a/bamboostream/src/Forwarding/engine_choice.cpp
+++ b/bamboostream/src/Forwarding/engine_choice.cpp
@@ -37,8 +37,9 @@
     const admission_request asked{request.work, request.engine_memory_tokens, request.priority,
                                   request.objective};
     const auto verdict_at = [&](const registered_backend& engine) {
-        return check_admission(state.admission, asked, state.loads.total(engine.id, now),
-                               state.reading.tokens_per_ms(request.service, work_key(engine.id)));
+        return check_admission(
+            state.admission, asked, state.loads.total(engine.id, now),
+            state.reading.tokens_per_ms(request.service, backend_hash(engine.id)));
     };
     const auto engines = servers_with_room(state, request.service, role, now);
     std::vector<const registered_backend*> open = engines;
--- a/bamboostream/src/Forwarding/engine_choice.h
+++ b/bamboostream/src/Forwarding/engine_choice.h
@@ -5,7 +5,7 @@
 #include "bamboostream/src/Limits/cold_start_limit.h"
 #include "bamboostream/src/Limits/engine_admission.h"
 #include "bamboostream/src/Membership/backend_registry.h"
-#include "bamboostream/src/Routing/load_book.h"
+#include "bamboostream/src/Routing/load_table.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <optional>
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -257,7 +257,7 @@
     const prefill_sample sample{
         static_cast<double>(queued_before_->unread_tokens + request_.prompt_tokens),
         to_milliseconds(first_event_ - sent_at_)};
-    state_.reading.note(service_->id, work_key(entered_at_), sample);
+    state_.reading.note(service_->id, backend_hash(entered_at_), sample);
     state_.engine_outcomes.record_prefill(entered_at_, sample);
 }
 
--- a/bamboostream/src/Forwarding/forwarding_state.h
+++ b/bamboostream/src/Forwarding/forwarding_state.h
@@ -14,7 +14,7 @@
 #include "bamboostream/src/Membership/backend_registry.h"
 #include "bamboostream/src/Membership/view_age.h"
 #include "bamboostream/src/Routing/backend_picker.h"
-#include "bamboostream/src/Routing/load_book.h"
+#include "bamboostream/src/Routing/load_table.h"
 #include "bamboostream/src/Routing/outcome_book.h"
 #include "bamboostream/src/Routing/prefill_rates.h"
 #include "bamboostream/src/Routing/route_table.h"
@@ -77,7 +77,7 @@
     /// How old what is known of the entries of backend servers and of the configuration is.
     view_age entries_view;
     view_age documents_view;
-    load_book loads;
+    load_table loads;
     /// How fast engines read prompts, by what this instance has seen and has been told.
     prefill_rates reading;
     window_budget budget;
--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -174,7 +174,7 @@
             forwarding.picker.forget(change.backend.id);
         }
         if (change.event == registry_event::gone || change.event == registry_event::restarted) {
-            forwarding.reading.forget(work_key(change.backend.id));
+            forwarding.reading.forget(backend_hash(change.backend.id));
         }
     });
     forwarding.on_generation_change = [this] { peers->note_load(); };
--- a/bamboostream/src/Gateway/peer_exchange.cpp
+++ b/bamboostream/src/Gateway/peer_exchange.cpp
@@ -114,7 +114,8 @@
     auto answers = std::make_shared<gathered_answers>(context_);
     // Who has generations there has told so. Asking everybody costs the product of the instances
     // and the engines that leave.
-    const std::vector<std::string> peers = forwarding_.loads.holders(backend, monotonic_now());
+    const std::vector<std::string> peers =
+        forwarding_.loads.peers_reporting(backend, monotonic_now());
     answers->missing = peers.size();
     for (const std::string& peer : peers) {
         wire::MovableRequestT request;
--- a/bamboostream/src/Gateway/pool_owner.cpp
+++ b/bamboostream/src/Gateway/pool_owner.cpp
@@ -50,7 +50,7 @@
     forwarding_.loads.hear(sender, from_wire(report), now);
     for (const backend_outcomes& seen : outcomes_from_wire(report)) {
         const registered_backend* engine = forwarding_.registry.find_if(
-            [&seen](const registered_backend& it) { return work_key(it.id) == seen.backend; });
+            [&seen](const registered_backend& it) { return backend_hash(it.id) == seen.backend; });
         if (engine != nullptr) {
             const std::size_t group = forwarding_.registry.usable(engine->service).size();
             forwarding_.picker.note(engine->id, seen.succeeded, seen.failed, group, now);
@@ -132,7 +132,7 @@
     wanted.engine_memory_tokens = service->engine->memory_tokens;
     const engine_choice choice = choose_engine(forwarding_, wanted, role(wanted.service), now);
     if (choice.engine && choice.verdict == admission_result::admit) {
-        forwarding_.loads.expect(sender, {work_key(choice.engine->id), wanted.work}, now);
+        forwarding_.loads.add_expected(sender, {backend_hash(choice.engine->id), wanted.work}, now);
     }
     return make_reply(to_wire(choice));
 }
--- a/bamboostream/src/Limits/engine_admission.h
+++ b/bamboostream/src/Limits/engine_admission.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bamboostream/src/Core/clock.h"
-#include "bamboostream/src/Routing/load_book.h"
+#include "bamboostream/src/Routing/load_table.h"
 
 #include <cstdint>
 
--- a/bamboostream/src/Routing/backend_picker.cpp
+++ b/bamboostream/src/Routing/backend_picker.cpp
@@ -42,7 +42,7 @@
 }
 
 const registered_backend* backend_picker::pick(std::span<const registered_backend* const> servers,
-                                               load_book& loads, const placement_request& request,
+                                               load_table& loads, const placement_request& request,
                                                time_point now) {
     struct rated {
         const registered_backend* server;
--- a/bamboostream/src/Routing/backend_picker.h
+++ b/bamboostream/src/Routing/backend_picker.h
@@ -2,7 +2,7 @@
 
 #include "bamboostream/src/Core/clock.h"
 #include "bamboostream/src/Membership/backend_registry.h"
-#include "bamboostream/src/Routing/load_book.h"
+#include "bamboostream/src/Routing/load_table.h"
 #include "bamboostream/src/Routing/outlier_detector.h"
 
 #include <optional>
@@ -35,7 +35,7 @@
 
     /// Null when no server may get the request.
     const registered_backend* pick(std::span<const registered_backend* const> servers,
-                                   load_book& loads, const placement_request& request,
+                                   load_table& loads, const placement_request& request,
                                    time_point now);
     /// No connection came about. The server is passed over for a while, unless nothing else is
     /// left: while the store is away engines go without their entries, and several connections in a
--- a/bamboostream/src/Routing/load_book.cpp
+++ b/bamboostream/src/Routing/load_table.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Routing/load_book.h"
+#include "bamboostream/src/Routing/load_table.h"
 
 #include "bamboostream/src/Core/digest.h"
 
@@ -36,19 +36,19 @@
     return *this;
 }
 
-std::uint64_t work_key(const backend_id& id) {
+std::uint64_t backend_hash(const backend_id& id) {
     return stable_hash(id.text());
 }
 
-void load_book::add(const backend_id& id, const backend_work& work) {
-    adjust(own_, work_key(id), work);
+void load_table::add(const backend_id& id, const backend_work& work) {
+    adjust(own_, backend_hash(id), work);
 }
 
-void load_book::subtract(const backend_id& id, const backend_work& work) {
-    adjust(own_, work_key(id), negative(work));
+void load_table::subtract(const backend_id& id, const backend_work& work) {
+    adjust(own_, backend_hash(id), negative(work));
 }
 
-void load_book::forget(told_list::iterator old) {
+void load_table::forget(told_list::iterator old) {
     for (const backend_work_entry& entry : old->entries) {
         adjust(sums_, entry.backend, negative(entry.work));
     }
@@ -56,14 +56,14 @@
     told_.erase(old);
 }
 
-void load_book::expire(time_point now) {
-    while (!told_.empty() && now - told_.front().at > peer_validity) {
+void load_table::expire(time_point now) {
+    while (!told_.empty() && now - told_.front().at > peer_report_lifetime) {
         forget(told_.begin());
     }
 }
 
-void load_book::hear(const std::string& peer, std::span<const backend_work_entry> entries,
-                     time_point now) {
+void load_table::hear(const std::string& peer, std::span<const backend_work_entry> entries,
+                      time_point now) {
     expire(now);
     if (const auto known = by_peer_.find(peer); known != by_peer_.end()) {
         forget(known->second);
@@ -75,7 +75,8 @@
     by_peer_.emplace(peer, std::prev(told_.end()));
 }
 
-void load_book::expect(const std::string& peer, const backend_work_entry& entry, time_point now) {
+void load_table::add_expected(const std::string& peer, const backend_work_entry& entry,
+                              time_point now) {
     expire(now);
     const auto [known, is_new] = by_peer_.try_emplace(peer);
     if (is_new) {
@@ -86,17 +87,17 @@
     adjust(sums_, entry.backend, entry.work);
 }
 
-backend_work load_book::total(const backend_id& id, time_point now) {
+backend_work load_table::total(const backend_id& id, time_point now) {
     expire(now);
-    const std::uint64_t key = work_key(id);
+    const std::uint64_t key = backend_hash(id);
     backend_work sum = at(own_, key);
     sum += at(sums_, key);
     return sum;
 }
 
-std::vector<std::string> load_book::holders(const backend_id& id, time_point now) {
+std::vector<std::string> load_table::peers_reporting(const backend_id& id, time_point now) {
     expire(now);
-    const std::uint64_t key = work_key(id);
+    const std::uint64_t key = backend_hash(id);
     std::vector<std::string> out;
     for (const heard& from : told_) {
         if (std::any_of(from.entries.begin(), from.entries.end(),
@@ -107,7 +108,7 @@
     return out;
 }
 
-std::vector<backend_work_entry> load_book::own() const {
+std::vector<backend_work_entry> load_table::own() const {
     std::vector<backend_work_entry> out;
     for (const auto& [key, work] : own_) {
         out.push_back({key, work});
--- a/bamboostream/src/Routing/load_book.h
+++ b/bamboostream/src/Routing/load_table.h
@@ -33,7 +33,7 @@
 };
 
 /// The name of a backend server in work entries.
-std::uint64_t work_key(const backend_id& id);
+std::uint64_t backend_hash(const backend_id& id);
 
 /// What is under way at the backend servers: this instance's own work to the moment, and what the
 /// other instances told of theirs a moment ago. Together they are fresher than the reports of the
@@ -41,21 +41,21 @@
 ///
 /// The sum at each server is kept as tellings come in, since it is asked for every candidate of
 /// every choice, and adding up all instances each time would take as long as all else together.
-class load_book {
+class load_table {
 public:
     /// Work that a dead instance told of is forgotten after this: its requests are cut by then.
-    static constexpr milliseconds peer_validity{2'000};
+    static constexpr milliseconds peer_report_lifetime{2'000};
 
     void add(const backend_id& id, const backend_work& work);
     void subtract(const backend_id& id, const backend_work& work);
     /// Replaces what `peer` told before.
     void hear(const std::string& peer, std::span<const backend_work_entry> entries, time_point now);
     /// Adds work that `peer` is about to have, until it tells again.
-    void expect(const std::string& peer, const backend_work_entry& entry, time_point now);
+    void add_expected(const std::string& peer, const backend_work_entry& entry, time_point now);
     /// All work at one server.
     backend_work total(const backend_id& id, time_point now);
     /// The instances that have told of work at one server.
-    std::vector<std::string> holders(const backend_id& id, time_point now);
+    std::vector<std::string> peers_reporting(const backend_id& id, time_point now);
     /// This instance's own work, for the others.
     std::vector<backend_work_entry> own() const;
 
--- a/bamboostream/src/Routing/outcome_book.cpp
+++ b/bamboostream/src/Routing/outcome_book.cpp
@@ -1,6 +1,6 @@
 #include "bamboostream/src/Routing/outcome_book.h"
 
-#include "bamboostream/src/Routing/load_book.h"
+#include "bamboostream/src/Routing/load_table.h"
 
 #include <limits>
 #include <utility>
@@ -8,8 +8,8 @@
 namespace bamboostream {
 
 backend_outcomes& outcome_book::of(const backend_id& id) {
-    backend_outcomes& seen = outcomes_[work_key(id)];
-    seen.backend = work_key(id);
+    backend_outcomes& seen = outcomes_[backend_hash(id)];
+    seen.backend = backend_hash(id);
     return seen;
 }
 
--- a/bamboostream/src/Routing/outcome_book.h
+++ b/bamboostream/src/Routing/outcome_book.h
@@ -11,7 +11,7 @@
 
 /// How requests at one backend server ended, and what it read until their first events.
 struct backend_outcomes {
-    /// By `work_key`.
+    /// By `backend_hash`.
     std::uint64_t backend = 0;
     std::uint16_t succeeded = 0;
     std::uint16_t failed = 0;
--- a/bamboostream/src/Routing/prefill_rates.h
+++ b/bamboostream/src/Routing/prefill_rates.h
@@ -22,7 +22,8 @@
 class prefill_rates {
 public:
     /// A generation's first event came `sample.ms` after it was sent to an engine, which had
-    /// `sample.tokens` to read by then, those of its own prompt among them. `engine` by `work_key`.
+    /// `sample.tokens` to read by then, those of its own prompt among them. `engine` by
+    /// `backend_hash`.
     void note(const service_id& service, std::uint64_t engine, const prefill_sample& sample);
     double tokens_per_ms(const service_id& service, std::uint64_t engine) const;
     /// The engine is gone or has started again.
--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -134,12 +134,12 @@
     placement_request request;
     request.server_memory_tokens = 33'000;
     for (const std::uint64_t peers : {10, 100, 300, 1'100}) {
-        load_book loads;
+        load_table loads;
         backend_picker picker(1);
         for (std::uint64_t p = 0; p < peers; ++p) {
             std::vector<backend_work_entry> told;
             for (std::uint64_t e = 0; e < entries_a_peer; ++e) {
-                told.push_back({work_key(all[(p * 7 + e * 19) % engines].id), {1, 3'000, 0}});
+                told.push_back({backend_hash(all[(p * 7 + e * 19) % engines].id), {1, 3'000, 0}});
             }
             loads.hear(fmt::format("10.0.{}.{}:7200", p / 250, p % 250), told, start);
         }
--- a/test/platform/admission_load_test.cpp
+++ b/test/platform/admission_load_test.cpp
@@ -154,7 +154,7 @@
     void record_prefill(const generation& g, time_point first) {
         const std::int64_t claimed = g.queued.memory_tokens + g.job.prompt_tokens + g.expected;
         if (claimed <= memory_tokens) {
-            state_.reading.note(service_id("s"), work_key(g.at),
+            state_.reading.note(service_id("s"), backend_hash(g.at),
                                 {static_cast<double>(g.queued.unread_tokens + g.job.prompt_tokens),
                                  to_milliseconds(first - g.sent)});
         }
--- a/test/platform/evacuation_load_test.cpp
+++ b/test/platform/evacuation_load_test.cpp
@@ -326,7 +326,7 @@
     double long_a_second_;
     std::mt19937_64 random_;
     backend_picker picker_;
-    load_book loads_;
+    load_table loads_;
     time_point start_ = time_point{} + seconds(1'000);
     time_point now_ = start_;
     time_point next_round_ = start_ + seconds(3);
--- a/test/platform/placement_load_test.cpp
+++ b/test/platform/placement_load_test.cpp
@@ -78,7 +78,7 @@
 
     struct instance {
         explicit instance(std::uint64_t seed) : picker(seed) {}
-        load_book loads;
+        load_table loads;
         backend_picker picker;
     };
     struct event {
@@ -105,7 +105,7 @@
         const registered_backend* engine =
             decides.picker.pick(views_, decides.loads, request, now_);
         if (how_.who == chooser::owner) {
-            owner_.loads.expect(std::to_string(i), {work_key(engine->id), work}, now_);
+            owner_.loads.add_expected(std::to_string(i), {backend_hash(engine->id), work}, now_);
         }
         here.loads.add(engine->id, work);
         changed(i);
--- a/test/platform/pool_owner_test.cpp
+++ b/test/platform/pool_owner_test.cpp
@@ -96,7 +96,7 @@
     ASSERT_TRUE(choice && choice->engine);
     const backend_id& id = choice->engine->id;
     EXPECT_EQ(owner().forwarding.loads.total(id, monotonic_now()).memory_tokens, 9'000);
-    const std::vector<backend_work_entry> told = {{work_key(id), {1, 9'100, 0}}};
+    const std::vector<backend_work_entry> told = {{backend_hash(id), {1, 9'100, 0}}};
     owner().forwarding.loads.hear(asker().address(), told, monotonic_now());
     EXPECT_EQ(owner().forwarding.loads.total(id, monotonic_now()).memory_tokens, 9'100);
 }
@@ -237,7 +237,7 @@
                             asker().address());
     }
     const prefill_rates& rates = owner().forwarding.reading;
-    EXPECT_LT(rates.tokens_per_ms(service_id("s"), work_key(slow)), 2.0);
+    EXPECT_LT(rates.tokens_per_ms(service_id("s"), backend_hash(slow)), 2.0);
 }
 
 // Work is told to the owner and its deputy only, and by these to each other.
--- a/test/platform/routing_decisions_test.cpp
+++ b/test/platform/routing_decisions_test.cpp
@@ -149,7 +149,7 @@
     const registered_backend b = backend("i-1");
     const registered_backend other = backend("i-2");
     const std::vector<const registered_backend*> servers = {&b, &other};
-    load_book loads;
+    load_table loads;
     loads.add(other.id, {3, 0, 0});
     picker.on_unreachable(b.id, start);
     ASSERT_EQ(picker.pick(servers, loads, {}, start)->id, other.id);
@@ -215,12 +215,12 @@
 
 TEST(backend_picker_test, prefers_the_server_with_less_work_over_all_instances) {
     backend_picker picker(1);
-    load_book loads;
+    load_table loads;
     const registered_backend a = backend("a");
     const registered_backend b = backend("b");
     const std::vector<const registered_backend*> servers = {&a, &b};
     loads.add(a.id, {1, 0, 0});
-    const std::vector<backend_work_entry> told = {{work_key(b.id), {4, 0, 0}}};
+    const std::vector<backend_work_entry> told = {{backend_hash(b.id), {4, 0, 0}}};
     loads.hear("peer", told, start);
     placement_request request;
     request.near = failure_domain_id("norra");
@@ -235,7 +235,7 @@
     constexpr int peers = 12;
     constexpr int servers = 5;
     std::mt19937_64 random(5);
-    load_book loads;
+    load_table loads;
     struct telling {
         time_point at;
         std::vector<backend_work_entry> entries;
@@ -249,31 +249,33 @@
         for (int s = 0; s < servers; ++s) {
             if (random() % 2 == 0) {
                 const auto tokens = static_cast<std::int64_t>(random() % 4'000);
-                told.entries.push_back({work_key(backend_id(std::to_string(s))), {1, tokens, 7}});
+                told.entries.push_back(
+                    {backend_hash(backend_id(std::to_string(s))), {1, tokens, 7}});
             }
         }
         loads.hear(peer, told.entries, now);
         latest[peer] = told;
         const backend_id asked(std::to_string(random() % servers));
         backend_work expected;
-        std::set<std::string> holders;
+        std::set<std::string> peers_reporting;
         for (const auto& [name, from] : latest) {
             for (const backend_work_entry& entry : from.entries) {
-                if (now - from.at <= load_book::peer_validity && entry.backend == work_key(asked)) {
+                if (now - from.at <= load_table::peer_report_lifetime &&
+                    entry.backend == backend_hash(asked)) {
                     expected += entry.work;
-                    holders.insert(name);
+                    peers_reporting.insert(name);
                 }
             }
         }
         ASSERT_EQ(loads.total(asked, now), expected) << round;
-        const auto found = loads.holders(asked, now);
-        ASSERT_EQ(std::set<std::string>(found.begin(), found.end()), holders) << round;
+        const auto found = loads.peers_reporting(asked, now);
+        ASSERT_EQ(std::set<std::string>(found.begin(), found.end()), peers_reporting) << round;
     }
 }
 
 TEST(backend_picker_test, queued_prompts_weigh_more_than_memory) {
     backend_picker picker(1);
-    load_book loads;
+    load_table loads;
     const registered_backend a = backend("a");
     const registered_backend b = backend("b");
     const std::vector<const registered_backend*> servers = {&a, &b};
@@ -288,7 +290,7 @@
 // left out for good: the crowd is never ejected.
 TEST(backend_picker_test, a_failing_server_gets_little_and_the_crowd_is_kept) {
     backend_picker picker(1);
-    load_book loads;
+    load_table loads;
     std::vector<registered_backend> all = {backend("a"), backend("b"), backend("c"), backend("d")};
     std::vector<const registered_backend*> servers;
     for (const registered_backend& b : all) {
@@ -315,7 +317,7 @@
 // another, and nobody tries the gone one again for a while, unless nothing else is left.
 TEST(backend_picker_test, an_unreachable_server_is_passed_over_for_a_while) {
     backend_picker picker(1);
-    load_book loads;
+    load_table loads;
     const registered_backend a = backend("a");
     const registered_backend b = backend("b");
     const std::vector<const registered_backend*> both = {&a, &b};
--- a/tools/prove.sh
+++ b/tools/prove.sh
@@ -124,7 +124,7 @@
 prove given_up_is_not_refused $s/Gateway/deployment_state.cpp 'dropped.settle(document_verdict::given_up);' 'dropped.settle(document_verdict::rejected);' 'read_beside'
 prove members_made_up_for $s/Membership/member_table.cpp 'differs_ = told.summary != 0 && told.summary != summary();' '' 'all_know_all_in_time'
 prove large_owners $s/Core/rendezvous.h 'if (a.node->preferred != b.node->preferred) {' 'if (false) {' 'preferred_nodes_come_first'
-prove sums_expire $s/Routing/load_book.cpp 'now - told_.front().at > peer_validity' 'false' 'sums_are_those|prefers_the_server'
+prove sums_expire $s/Routing/load_table.cpp 'now - told_.front().at > peer_report_lifetime' 'false' 'sums_are_those|prefers_the_server'
 prove cordon_newest_wins $s/Gateway/deployment_state.cpp 'if (told.position > cordons_.position) {' 'if (true) {' 'cordon_words'
 prove cordoned_not_usable $s/Membership/backend_registry.cpp 'return !backend.leaving && !cordoned_.contains(backend.failure_domain);' 'return !backend.leaving;' 'cordoned'
 prove cordoned_engine_of_owner $s/Gateway/pool_owner.cpp '!forwarding_.registry.takes_work(engine->id)' 'engine->leaving' 'of_a_cordoned_domain'
