--- a/bamboostream/src/Forwarding/forwarding_state.h
+++ b/bamboostream/src/Forwarding/forwarding_state.h
@@ -15,7 +15,7 @@
 #include "bamboostream/src/Membership/view_age.h"
 #include "bamboostream/src/Routing/backend_picker.h"
 #include "bamboostream/src/Routing/load_table.h"
-#include "bamboostream/src/Routing/outcome_book.h"
+#include "bamboostream/src/Routing/outcome_collector.h"
 #include "bamboostream/src/Routing/prefill_rates.h"
 #include "bamboostream/src/Routing/route_table.h"
 #include "bamboostream/src/Routing/window_budget.h"
@@ -87,7 +87,7 @@
     /// Refused generations by service, of those that this instance chooses engines for.
     std::unordered_map<service_id, overload_tracker> overloads;
     /// What to tell those that choose engines for this instance.
-    outcome_book engine_outcomes;
+    outcome_collector engine_outcomes;
     http_channel_pool channels;
     server_check server_checks;
     /// Requests that end the backend servers which run them.
--- a/bamboostream/src/Gateway/peer_frames.h
+++ b/bamboostream/src/Gateway/peer_frames.h
@@ -7,7 +7,7 @@
 #include "bamboostream/src/Links/generated/wire_generated.h"
 #include "bamboostream/src/Membership/backend_registry.h"
 #include "bamboostream/src/Routing/load_table.h"
-#include "bamboostream/src/Routing/outcome_book.h"
+#include "bamboostream/src/Routing/outcome_collector.h"
 
 #include <cstdint>
 #include <memory>
--- a/bamboostream/src/Routing/outcome_book.cpp
+++ b/bamboostream/src/Routing/outcome_collector.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Routing/outcome_book.h"
+#include "bamboostream/src/Routing/outcome_collector.h"
 
 #include "bamboostream/src/Routing/load_table.h"
 
@@ -7,19 +7,19 @@
 
 namespace bamboostream {
 
-backend_outcomes& outcome_book::of(const backend_id& id) {
+backend_outcomes& outcome_collector::of(const backend_id& id) {
     backend_outcomes& seen = outcomes_[backend_hash(id)];
     seen.backend = backend_hash(id);
     return seen;
 }
 
-void outcome_book::record_prefill(const backend_id& id, const prefill_sample& sample) {
+void outcome_collector::record_prefill(const backend_id& id, const prefill_sample& sample) {
     backend_outcomes& seen = of(id);
     seen.prefill_tokens += static_cast<std::uint32_t>(sample.tokens);
     seen.prefill_ms += static_cast<std::uint32_t>(sample.ms);
 }
 
-void outcome_book::note(const backend_id& id, bool succeeded) {
+void outcome_collector::note(const backend_id& id, bool succeeded) {
     backend_outcomes& seen = of(id);
     std::uint16_t& count = succeeded ? seen.succeeded : seen.failed;
     if (count < std::numeric_limits<std::uint16_t>::max()) {
@@ -27,7 +27,7 @@
     }
 }
 
-std::vector<backend_outcomes> outcome_book::take() {
+std::vector<backend_outcomes> outcome_collector::take() {
     std::vector<backend_outcomes> out;
     for (const auto& [key, seen] : std::exchange(outcomes_, {})) {
         out.push_back(seen);
--- a/bamboostream/src/Routing/outcome_book.h
+++ b/bamboostream/src/Routing/outcome_collector.h
@@ -23,7 +23,7 @@
 /// What this instance has seen of engines since it last told those that choose for it. An engine
 /// that fails at once looks idle, and one that chooses for all sends few requests itself: without
 /// being told it gave such engines the most.
-class outcome_book {
+class outcome_collector {
 public:
     void note(const backend_id& id, bool succeeded);
     void record_prefill(const backend_id& id, const prefill_sample& sample);
