--- a/bamboostream/src/Forwarding/engine_choice.cpp
+++ b/bamboostream/src/Forwarding/engine_choice.cpp
@@ -32,7 +32,7 @@
                             sender_role role, time_point now) {
     placement_request wanted;
     wanted.avoid = request.avoid;
-    wanted.near = request.near;
+    wanted.preferred_domain = request.preferred_domain;
     wanted.server_memory_tokens = request.engine_memory_tokens;
     const admission_request asked{request.work, request.engine_memory_tokens, request.priority,
                                   request.objective};
--- a/bamboostream/src/Forwarding/engine_choice.h
+++ b/bamboostream/src/Forwarding/engine_choice.h
@@ -27,7 +27,7 @@
     duration objective{};
     /// Engines that it must not go to, for instance because it failed there.
     std::vector<backend_id> avoid;
-    failure_domain_id near;
+    failure_domain_id preferred_domain;
 };
 
 /// The engine that serves a generation best, and whether it may go there now.
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -81,7 +81,7 @@
     if (auto refused = find_workspace()) {
         return refused;
     }
-    const service_id* service = draw_service(*route_, state_.random);
+    const service_id* service = pick_weighted_service(*route_, state_.random);
     service_ = service ? routes_->find_service(*service) : nullptr;
     if (service_ == nullptr) {
         return rejection{503, "no_service", refusal_cause::state_unknown};
@@ -208,7 +208,7 @@
     }
     placement_request wanted;
     wanted.avoid = avoid_;
-    wanted.near = state_.here;
+    wanted.preferred_domain = state_.here;
     wanted.server_memory_tokens = service_->engine ? service_->engine->memory_tokens : 0;
     const time_point now = monotonic_now();
     const sender_role role = service_->engine ? own_role(state_, service_->id) : sender_role::peer;
@@ -229,7 +229,7 @@
     wanted.priority = priority_;
     wanted.objective = route_->objective;
     wanted.avoid = avoid_;
-    wanted.near = state_.here;
+    wanted.preferred_domain = state_.here;
     std::optional<engine_choice> choice;
     if (state_.scheduler != nullptr) {
         choice = co_await state_.scheduler->choose(wanted);
--- a/bamboostream/src/Gateway/peer_frames.cpp
+++ b/bamboostream/src/Gateway/peer_frames.cpp
@@ -111,7 +111,7 @@
     out.prompt_tokens = tokens_on_wire(request.work.unread_tokens);
     out.max_tokens = tokens_on_wire(request.work.memory_tokens - request.work.unread_tokens);
     out.objective_ms = age_on_wire(request.objective);
-    out.failure_domain = request.near.text();
+    out.failure_domain = request.preferred_domain.text();
     for (const backend_id& id : request.avoid) {
         out.avoid.push_back(id.text());
     }
@@ -126,7 +126,7 @@
     out.work.unread_tokens = request.prompt_tokens;
     out.work.memory_tokens = std::int64_t{request.prompt_tokens} + request.max_tokens;
     out.objective = milliseconds(request.objective_ms);
-    out.near = failure_domain_id(request.failure_domain);
+    out.preferred_domain = failure_domain_id(request.failure_domain);
     for (const std::string& id : request.avoid) {
         out.avoid.emplace_back(id);
     }
--- a/bamboostream/src/Gateway/pool_owner.cpp
+++ b/bamboostream/src/Gateway/pool_owner.cpp
@@ -65,7 +65,7 @@
     // The owner may not know of those yet.
     engine_request asked = request;
     for (const registered_backend* engine : forwarding_.registry.usable(request.service)) {
-        if (forwarding_.picker.passed_over(engine->id, monotonic_now())) {
+        if (forwarding_.picker.is_excluded(engine->id, monotonic_now())) {
             asked.avoid.push_back(engine->id);
         }
     }
--- a/bamboostream/src/Routing/backend_picker.cpp
+++ b/bamboostream/src/Routing/backend_picker.cpp
@@ -27,7 +27,7 @@
 
 double backend_picker::cost(const registered_backend& server, const backend_work& work,
                             const placement_request& request, time_point now) const {
-    double out = server.failure_domain == request.near ? 0.0 : far_cost;
+    double out = server.failure_domain == request.preferred_domain ? 0.0 : far_cost;
     if (request.server_memory_tokens > 0) {
         out += static_cast<double>(work.memory_tokens) /
                static_cast<double>(request.server_memory_tokens);
@@ -54,7 +54,7 @@
         for (const registered_backend* server : servers) {
             const bool avoided = std::find(request.avoid.begin(), request.avoid.end(),
                                            server->id) != request.avoid.end();
-            if (avoided || (!ejected_too && passed_over(server->id, now))) {
+            if (avoided || (!ejected_too && is_excluded(server->id, now))) {
                 continue;
             }
             order.push_back({server, cost(*server, loads.total(server->id, now), request, now)});
@@ -72,7 +72,7 @@
     return order[std::uniform_int_distribution<std::size_t>(0, order.size() - 1)(random_)].server;
 }
 
-bool backend_picker::passed_over(const backend_id& id, time_point now) const {
+bool backend_picker::is_excluded(const backend_id& id, time_point now) const {
     const auto found = unreachable_until_.find(id);
     return (found != unreachable_until_.end() && now < found->second) ||
            outliers_.ejected(id.text(), now);
--- a/bamboostream/src/Routing/backend_picker.h
+++ b/bamboostream/src/Routing/backend_picker.h
@@ -20,7 +20,7 @@
     std::span<const backend_id> avoid;
     /// Tokens of cache memory of each server; zero for plain services.
     std::int64_t server_memory_tokens = 0;
-    failure_domain_id near;
+    failure_domain_id preferred_domain;
 };
 
 /// Chooses the backend server for a request by the work that is under way at each.
@@ -47,7 +47,7 @@
     void note(const backend_id& id, int succeeded, int failed, std::size_t group_size,
               time_point now);
     /// Whether the server is left out for a while, unless nothing else is left.
-    bool passed_over(const backend_id& id, time_point now) const;
+    bool is_excluded(const backend_id& id, time_point now) const;
     void on_success(const backend_id& id, time_point now);
     /// `group_size` counts the servers of the same service.
     void on_failure(const backend_id& id, std::size_t group_size, time_point now);
--- a/bamboostream/src/Routing/route_table.cpp
+++ b/bamboostream/src/Routing/route_table.cpp
@@ -55,7 +55,7 @@
     return found == services_.end() ? nullptr : found->second;
 }
 
-const service_id* draw_service(const route_rule& route, std::mt19937_64& random) {
+const service_id* pick_weighted_service(const route_rule& route, std::mt19937_64& random) {
     double total = 0.0;
     for (const weighted_service& choice : route.services) {
         total += choice.weight;
--- a/bamboostream/src/Routing/route_table.h
+++ b/bamboostream/src/Routing/route_table.h
@@ -47,6 +47,6 @@
 };
 
 /// A service of the route, drawn by weight; null when the route names none.
-const service_id* draw_service(const route_rule& route, std::mt19937_64& random);
+const service_id* pick_weighted_service(const route_rule& route, std::mt19937_64& random);
 
 } // namespace bamboostream
--- a/bamboostream/src/Routing/service_picker.cpp
+++ b/bamboostream/src/Routing/service_picker.cpp
@@ -6,7 +6,8 @@
 namespace bamboostream {
 
 std::optional<backend_id> service_picker::pick(std::span<const backend_facts> replicas,
-                                               const failure_domain_id& near, time_point now) {
+                                               const failure_domain_id& preferred_domain,
+                                               time_point now) {
     std::vector<const backend_facts*> usable;
     for (const backend_facts& facts : replicas) {
         if (facts.state == backend_state::live && !outliers_.ejected(facts.id.text(), now)) {
@@ -26,7 +27,7 @@
     if (load_a != load_b) {
         return load_a < load_b ? a->id : b->id;
     }
-    return a->failure_domain == near ? a->id : b->id;
+    return a->failure_domain == preferred_domain ? a->id : b->id;
 }
 
 void service_picker::call_started(const backend_id& backend) {
--- a/bamboostream/src/Routing/service_picker.h
+++ b/bamboostream/src/Routing/service_picker.h
@@ -18,7 +18,7 @@
     explicit service_picker(std::uint64_t seed) : random_(seed) {}
 
     std::optional<backend_id> pick(std::span<const backend_facts> replicas,
-                                   const failure_domain_id& near, time_point now);
+                                   const failure_domain_id& preferred_domain, time_point now);
     void call_started(const backend_id& backend);
     void call_ended(const backend_id& backend, bool reached, std::size_t group_size,
                     time_point now);
--- a/test/platform/admission_load_test.cpp
+++ b/test/platform/admission_load_test.cpp
@@ -127,7 +127,7 @@
         request.engine_memory_tokens = memory_tokens;
         request.priority = g.kind->priority;
         request.objective = g.kind->objective;
-        request.near = failure_domain_id("norra");
+        request.preferred_domain = failure_domain_id("norra");
         const engine_choice choice = choose_engine(state_, request, sender_role::owner, now_);
         if (choice.verdict == admission_result::admit) {
             g.at = choice.engine->id;
--- a/test/platform/placement_load_test.cpp
+++ b/test/platform/placement_load_test.cpp
@@ -98,7 +98,7 @@
         const auto i = std::uniform_int_distribution<std::size_t>(0, how_.instances - 1)(random_);
         instance& here = *instances_[i];
         placement_request request;
-        request.near = failure_domain_id("norra");
+        request.preferred_domain = failure_domain_id("norra");
         request.server_memory_tokens = 22'000;
         const backend_work work{1, 3'700, prompt_tokens};
         instance& decides = how_.who == chooser::owner ? owner_ : here;
--- a/test/platform/pool_owner_test.cpp
+++ b/test/platform/pool_owner_test.cpp
@@ -43,7 +43,7 @@
         out.service = service_id("s");
         out.work = {1, 9'000, 3'000};
         out.objective = milliseconds(1'500);
-        out.near = failure_domain_id("norra");
+        out.preferred_domain = failure_domain_id("norra");
         return out;
     }
     std::optional<engine_choice> ask(peer_instance& from, const engine_request& wanted) {
--- a/test/platform/routing_decisions_test.cpp
+++ b/test/platform/routing_decisions_test.cpp
@@ -56,7 +56,7 @@
     std::mt19937_64 random(7);
     std::map<std::string, int> drawn;
     for (int i = 0; i < 10'000; ++i) {
-        ++drawn[draw_service(route, random)->text()];
+        ++drawn[pick_weighted_service(route, random)->text()];
     }
     EXPECT_NEAR(drawn["a"], 9'000, 150);
     EXPECT_EQ(drawn["c"], 0);
