--- a/test/platform/admission_load_test.cpp
+++ b/test/platform/admission_load_test.cpp
@@ -110,9 +110,10 @@
         g.asked = now_;
         g.job.id = next_id_++;
         g.job.prompt_tokens = static_cast<std::uint32_t>(
-            std::clamp(test::draw_size(kind.prompt_tokens, 0.35, random_), 500.0, 6'000.0));
-        g.job.output_tokens = static_cast<std::uint32_t>(std::clamp(
-            test::draw_size(kind.output_tokens, kind.output_spread, random_), 4.0, 1'768.0));
+            std::clamp(test::sample_log_normal(kind.prompt_tokens, 0.35, random_), 500.0, 6'000.0));
+        g.job.output_tokens = static_cast<std::uint32_t>(
+            std::clamp(test::sample_log_normal(kind.output_tokens, kind.output_spread, random_),
+                       4.0, 1'768.0));
         const double estimate =
             g.job.output_tokens * std::exp(std::normal_distribution<>(0, 1.0)(random_));
         g.expected = std::clamp<std::int64_t>(static_cast<std::int64_t>(estimate), 1, 1'768);
--- a/test/platform/modelled_engines.h
+++ b/test/platform/modelled_engines.h
@@ -24,7 +24,7 @@
 }
 
 /// A log-normal number with this mean; `spread` is the deviation of its logarithm.
-inline double draw_size(double mean, double spread, std::mt19937_64& random) {
+inline double sample_log_normal(double mean, double spread, std::mt19937_64& random) {
     const double mu = std::log(mean) - spread * spread / 2.0;
     return std::lognormal_distribution<double>(mu, spread)(random);
 }
