--- a/bamboostream/src/Forwarding/engine_choice.cpp
+++ b/bamboostream/src/Forwarding/engine_choice.cpp
@@ -24,7 +24,7 @@
 
 void note_send(forwarding_state& state, const registered_backend& server, time_point now) {
     if (now < server.slow_until) {
-        state.cold_starts.note(server.id, now);
+        state.cold_starts.record_send(server.id, now);
     }
 }
 
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -140,7 +140,7 @@
     if (cause == refusal_cause::quarantined) {
         about.quarantine = state_.quarantine.held_for(*digest_, monotonic_now());
     }
-    return retry_delay(about, state_.random);
+    return choose_retry_delay(about, state_.random);
 }
 
 /// While the store is away, servers that can't be reached are those that have gone since.
--- a/bamboostream/src/Limits/cold_start_limit.cpp
+++ b/bamboostream/src/Limits/cold_start_limit.cpp
@@ -123,7 +123,7 @@
     return sent < 1.0 && has_turn(server, own * turn_part, now);
 }
 
-void cold_start_limit::note(const backend_id& server, time_point now) {
+void cold_start_limit::record_send(const backend_id& server, time_point now) {
     sent_lately(server, now);
     sent_[server].push_back(now);
 }
--- a/bamboostream/src/Limits/cold_start_limit.h
+++ b/bamboostream/src/Limits/cold_start_limit.h
@@ -42,7 +42,8 @@
 /// may not know yet. An instance whose part is less than one request takes turns with the others,
 /// by a hash of its address, the server and the second, whatever it knows of them.
 ///
-/// Example: `if (limit.may_send(server, per_second, role, now)) { limit.note(server, now); ... }`
+/// Example: `if (limit.may_send(server, per_second, role, now)) { limit.record_send(server, now);
+/// ... }`
 class cold_start_limit {
 public:
     /// `self` tells this instance from the others, in any way that lasts.
@@ -60,7 +61,7 @@
     /// Whether one more request may be sent to a cold server that bears `per_second`.
     bool may_send(const backend_id& server, double per_second, sender_role role, time_point now);
     /// A request is sent to the server.
-    void note(const backend_id& server, time_point now);
+    void record_send(const backend_id& server, time_point now);
 
 private:
     std::size_t sent_lately(const backend_id& server, time_point now);
--- a/bamboostream/src/Limits/quarantine_registry.cpp
+++ b/bamboostream/src/Limits/quarantine_registry.cpp
@@ -15,7 +15,7 @@
 
 void quarantine_registry::take(std::span<const crash_evidence> evidence, std::string_view origin,
                                time_point now) {
-    if (quarantine_.note(evidence, now)) {
+    if (quarantine_.add_evidence(evidence, now)) {
         carry_out_changes(origin, now);
     }
 }
--- a/bamboostream/src/Limits/request_quarantine.cpp
+++ b/bamboostream/src/Limits/request_quarantine.cpp
@@ -56,7 +56,7 @@
     return enough ? effect::decides : effect::recorded;
 }
 
-bool request_quarantine::note(std::span<const crash_evidence> evidence, time_point now) {
+bool request_quarantine::add_evidence(std::span<const crash_evidence> evidence, time_point now) {
     effect strongest = effect::none;
     for (const crash_evidence& it : evidence) {
         strongest = std::max(strongest, record(it, now));
@@ -72,7 +72,7 @@
     for (crash_evidence& evidence : against) {
         evidence.cleared = true;
     }
-    return note(against, now);
+    return add_evidence(against, now);
 }
 
 void request_quarantine::expire(time_point now) {
--- a/bamboostream/src/Limits/request_quarantine.h
+++ b/bamboostream/src/Limits/request_quarantine.h
@@ -69,8 +69,10 @@
     explicit request_quarantine(quarantine_rules rules = {}) : rules_(rules) {}
 
     /// Takes evidence of this or another instance; false when all of it was known.
-    bool note(std::span<const crash_evidence> evidence, time_point now);
-    bool note(const crash_evidence& evidence, time_point now) { return note({&evidence, 1}, now); }
+    bool add_evidence(std::span<const crash_evidence> evidence, time_point now);
+    bool add_evidence(const crash_evidence& evidence, time_point now) {
+        return add_evidence({&evidence, 1}, now);
+    }
     /// A request of this digest got its whole answer. True when that cleared any evidence.
     bool clear(const request_digest& request, time_point now);
     /// Drops evidence that is too old.
--- a/bamboostream/src/Limits/retry_delay.cpp
+++ b/bamboostream/src/Limits/retry_delay.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-duration retry_delay(const refused_request& request, std::mt19937_64& random) {
+duration choose_retry_delay(const refused_request& request, std::mt19937_64& random) {
     if (request.cause == refusal_cause::leaving) {
         return elsewhere;
     }
--- a/bamboostream/src/Limits/retry_delay.h
+++ b/bamboostream/src/Limits/retry_delay.h
@@ -41,6 +41,6 @@
 /// longer is expected to last as long again, and outages of a store last seconds: callers who
 /// return within either are refused a second time and have no answer at all. They are told a later
 /// time, at most the third of their patience that they wait.
-duration retry_delay(const refused_request& request, std::mt19937_64& random);
+duration choose_retry_delay(const refused_request& request, std::mt19937_64& random);
 
 } // namespace bamboostream
--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -226,7 +226,7 @@
         out.sizes.push_back(requests);
         out.values.push_back(best_us(5, [&] {
             request_quarantine quarantine;
-            quarantine.note(report, start + seconds(2));
+            quarantine.add_evidence(report, start + seconds(2));
         }));
     }
     return out;
--- a/test/cold_start_limit_test.cpp
+++ b/test/cold_start_limit_test.cpp
@@ -97,7 +97,7 @@
         limit.update_role(service_, seen, now);
         const sender_role role = seen == sender_role::peer ? seen : limit.role(service_, now);
         if (limit.may_send(server_, row_.per_second, role, now)) {
-            limit.note(server_, now);
+            limit.record_send(server_, now);
             arrivals_.push_back(now + milliseconds(random_() % 40));
         }
     }
--- a/test/platform/admission_load_test.cpp
+++ b/test/platform/admission_load_test.cpp
@@ -149,7 +149,7 @@
             std::chrono::duration_cast<milliseconds>(g.kind->patience - (now_ - g.asked));
         const refused_request about{refusal_cause::overloaded, g.kind->objective, left, overload};
         g.is_back = true;
-        returns_.emplace(now_ + retry_delay(about, random_), g);
+        returns_.emplace(now_ + choose_retry_delay(about, random_), g);
     }
 
     void record_prefill(const generation& g, time_point first) {
--- a/test/quarantine_load_test.cpp
+++ b/test/quarantine_load_test.cpp
@@ -179,7 +179,7 @@
             seen.caller = w.digest.high;
             seen.at = clock();
             seen.answering = true;
-            quarantine_.note(seen, clock());
+            quarantine_.add_evidence(seen, clock());
             if (w.harmful && w.until <= now_) {
                 ++ends_[w.digest.low];
             }
--- a/test/request_quarantine_test.cpp
+++ b/test/request_quarantine_test.cpp
@@ -91,8 +91,8 @@
     for (int i = 0; i < 20; ++i) {
         request_quarantine quarantine;
         for (const crash_evidence& it : evidence) {
-            quarantine.note(it, start + seconds(6));
-            quarantine.note(it, start + seconds(6));
+            quarantine.add_evidence(it, start + seconds(6));
+            quarantine.add_evidence(it, start + seconds(6));
         }
         EXPECT_EQ(held_of(quarantine), GetParam().held);
         EXPECT_TRUE(i == 0 || quarantine.fingerprint() == fingerprint);
@@ -104,7 +104,7 @@
 request_quarantine with_one_held(quarantine_rules rules = {}) {
     request_quarantine out(rules);
     for (std::uint64_t server = 1; server <= 3; ++server) {
-        out.note(seen(1, server, static_cast<int>(server) * 400), start + seconds(2));
+        out.add_evidence(seen(1, server, static_cast<int>(server) * 400), start + seconds(2));
     }
     return out;
 }
@@ -114,9 +114,9 @@
     request_quarantine quarantine = with_one_held();
     EXPECT_TRUE(quarantine.clear(digest(1), start + seconds(3)));
     EXPECT_FALSE(quarantine.holds(digest(1)));
-    EXPECT_FALSE(quarantine.note(seen(1, 2, 800), start + seconds(4)));
+    EXPECT_FALSE(quarantine.add_evidence(seen(1, 2, 800), start + seconds(4)));
     EXPECT_FALSE(quarantine.holds(digest(1)));
-    quarantine.note(seen(1, 7, 5'000), start + seconds(6));
+    quarantine.add_evidence(seen(1, 7, 5'000), start + seconds(6));
     EXPECT_FALSE(quarantine.holds(digest(1))) << "one end since it was answered";
 }
 
@@ -126,16 +126,16 @@
     for (std::uint64_t server = 1; server <= 3; ++server) {
         crash_evidence cleared = seen(1, server, static_cast<int>(server) * 400);
         cleared.cleared = true;
-        quarantine.note(cleared, start + seconds(2));
+        quarantine.add_evidence(cleared, start + seconds(2));
         cleared.cleared = false;
-        quarantine.note(cleared, start + seconds(2));
+        quarantine.add_evidence(cleared, start + seconds(2));
     }
     EXPECT_FALSE(quarantine.holds(digest(1)));
 }
 
 TEST(quarantine_evidence, lapses) {
     request_quarantine quarantine = with_one_held();
-    quarantine.note(seen(2, 1, 0), start + seconds(2));
+    quarantine.add_evidence(seen(2, 1, 0), start + seconds(2));
     quarantine.expire(start + seconds(125));
     EXPECT_TRUE(quarantine.holds(digest(1)));
     EXPECT_EQ(quarantine.size(), 3u) << "the suspicion of the other has lapsed";
@@ -150,8 +150,8 @@
     request_quarantine quarantine;
     for (int attempt = 0; attempt < 3; ++attempt) {
         const int at_ms = 100'000 * attempt;
-        quarantine.note(seen(1, static_cast<std::uint64_t>(attempt), at_ms),
-                        start + milliseconds(at_ms));
+        quarantine.add_evidence(seen(1, static_cast<std::uint64_t>(attempt), at_ms),
+                                start + milliseconds(at_ms));
         quarantine.expire(start + milliseconds(at_ms + 99'000));
     }
     EXPECT_TRUE(quarantine.holds(digest(1)));
@@ -167,7 +167,7 @@
     for (std::uint64_t i = 0; i < 1'000; ++i) {
         crash_evidence single = seen(100 + i, 50, 2'000 + static_cast<int>(i));
         single.caller = 1;
-        one.note(single, start + seconds(4));
+        one.add_evidence(single, start + seconds(4));
     }
     EXPECT_EQ(one.fingerprint(), other.fingerprint());
     EXPECT_EQ(one.suspicious_evidence().size(), 3u);
@@ -179,7 +179,7 @@
     for (std::uint64_t i = 0; i < 1'000; ++i) {
         crash_evidence other = seen(100 + i, 50, 2'000);
         other.caller = 99;
-        quarantine.note(other, start + seconds(3));
+        quarantine.add_evidence(other, start + seconds(3));
     }
     EXPECT_TRUE(quarantine.holds(digest(1)));
     EXPECT_EQ(quarantine.size(), 3u + quarantine_rules{}.most_of_a_caller);
--- a/test/retry_delay_test.cpp
+++ b/test/retry_delay_test.cpp
@@ -82,7 +82,7 @@
     duration least = duration::max();
     duration most{};
     for (int i = 0; i < 500; ++i) {
-        const duration told = retry_delay(GetParam().request, random);
+        const duration told = choose_retry_delay(GetParam().request, random);
         least = std::min(least, told);
         most = std::max(most, told);
     }
@@ -101,7 +101,7 @@
     for (int patience_ms = 600; patience_ms <= 60'000; patience_ms += 300) {
         const refused_request request{refusal_cause::state_unknown, milliseconds(500),
                                       milliseconds(patience_ms)};
-        EXPECT_LE(retry_delay(request, random), milliseconds(patience_ms / honoured_part));
+        EXPECT_LE(choose_retry_delay(request, random), milliseconds(patience_ms / honoured_part));
     }
 }
 
