--- a/bamboostream/src/Lengths/length_estimator.cpp
+++ b/bamboostream/src/Lengths/length_estimator.cpp
@@ -9,24 +9,26 @@
 
 namespace {
 
-/// How many outputs the experience of the next wider circle counts for, in each bin.
+/// Weight of the prior, which is the estimate of the next broader level (the kind, then the model),
+/// in outputs for each bin.
 constexpr double prior_outputs = 6.0;
-/// Before anything is known: log-normal around some hundred tokens, counting for few outputs.
-constexpr double first_guess_median = 150.0;
-constexpr double first_guess_sigma = 1.0;
-constexpr double first_guess_outputs = 2.0;
-constexpr std::size_t most_subjects = 20'000;
-/// A curve is worked out again once this share of its outputs is new.
-constexpr std::uint32_t changes_a_curve = 64;
+/// Prior before any output has been observed: log-normal, with the weight of a few outputs.
+constexpr double prior_median = 150.0;
+constexpr double prior_sigma = 1.0;
+constexpr double prior_weight = 2.0;
+constexpr std::size_t max_categories = 20'000;
+/// A curve is recomputed after more than this many updates, or earlier, after more than a quarter
+/// of the outputs that have ended.
+constexpr std::uint32_t updates_per_curve = 64;
 
 using hazards = std::array<double, life_table::bin_count>;
 
 double log_normal_survival(double tokens) {
-    const double z = std::log(tokens / first_guess_median) / first_guess_sigma;
+    const double z = std::log(tokens / prior_median) / prior_sigma;
     return 0.5 * std::erfc(z / std::numbers::sqrt2);
 }
 
-const hazards& first_guess() {
+const hazards& prior_hazards() {
     static const hazards table = [] {
         hazards out{};
         for (std::size_t i = 0; i < out.size(); ++i) {
@@ -50,21 +52,21 @@
     return found->second;
 }
 
-length_key length_estimator::key(const length_subject& subject) {
-    const bool full = entries_.size() >= most_subjects;
-    const std::string kind = fmt::format("{}\x1f{}", subject.model, subject.kind);
-    const std::string name = full ? kind : fmt::format("{}\x1f{}", kind, subject.workspace);
+length_key length_estimator::key(const length_category& category) {
+    const bool full = entries_.size() >= max_categories;
+    const std::string kind = fmt::format("{}\x1f{}", category.model, category.kind);
+    const std::string name = full ? kind : fmt::format("{}\x1f{}", kind, category.workspace);
     const auto [found, is_new] =
-        subject_index_.try_emplace(name, static_cast<std::uint32_t>(entries_.size()));
+        category_index_.try_emplace(name, static_cast<std::uint32_t>(entries_.size()));
     if (is_new) {
         entry& e = entries_.emplace_back();
         e.kind = table_index(kind);
-        e.model = table_index(subject.model);
+        e.model = table_index(category.model);
     }
     return length_key{found->second};
 }
 
-void length_estimator::progressed(length_key key, std::uint32_t from, std::uint32_t to) {
+void length_estimator::record_progress(length_key key, std::uint32_t from, std::uint32_t to) {
     if (life_table::bin_of(from) == life_table::bin_of(to)) {
         return;
     }
@@ -75,7 +77,7 @@
     ++e.changes;
 }
 
-void length_estimator::finished(length_key key, std::uint32_t tokens) {
+void length_estimator::record_end(length_key key, std::uint32_t tokens) {
     entry& e = entries_[static_cast<std::uint32_t>(key)];
     e.own.ended(tokens);
     tables_[e.kind].ended(tokens);
@@ -84,37 +86,38 @@
     ++e.ended;
 }
 
-const length_curve& length_estimator::curve_of(length_key key) const {
+const survival_curve& length_estimator::curve_of(length_key key) const {
     const entry& e = entries_[static_cast<std::uint32_t>(key)];
-    if (e.changes > std::min(changes_a_curve, e.ended / 4)) {
+    if (e.changes > std::min(updates_per_curve, e.ended / 4)) {
         hazards chances{};
         for (std::size_t i = 0; i < chances.size(); ++i) {
-            const double model = tables_[e.model].hazard(i, first_guess()[i], first_guess_outputs);
+            const double model = tables_[e.model].hazard(i, prior_hazards()[i], prior_weight);
             const double kind = tables_[e.kind].hazard(i, model, prior_outputs);
             chances[i] = e.own.hazard(i, kind, prior_outputs);
         }
-        e.curve = length_curve(chances);
+        e.curve = survival_curve(chances);
         e.changes = 0;
     }
     return e.curve;
 }
 
-double length_estimator::remaining(length_key key, std::uint32_t reached, double q) const {
+double length_estimator::remaining_quantile(length_key key, std::uint32_t reached, double q) const {
     return curve_of(key).conditional_quantile(reached, q) - reached;
 }
 
-void length_estimator::survival_ahead(length_key key, double reached, std::span<const double> ahead,
-                                      std::span<double> out) const {
-    const length_curve& known = curve_of(key);
+void length_estimator::conditional_survival(length_key key, double reached,
+                                            std::span<const double> ahead,
+                                            std::span<double> out) const {
+    const survival_curve& known = curve_of(key);
     const double now = reached + 0.5;
     const double alive = known.survival(now);
     for (std::size_t i = 0; i < ahead.size(); ++i) {
-        // Longer than anything possible: as likely to double as not.
+        // Beyond the longest length of the table: as likely to double in length as not.
         out[i] = alive > 0.0 ? known.survival(now + ahead[i]) / alive : now / (now + ahead[i]);
     }
 }
 
-double length_estimator::expected(length_key key) const {
+double length_estimator::expected_length(length_key key) const {
     return curve_of(key).mean();
 }
 
--- a/bamboostream/src/Lengths/life_table.cpp
+++ b/bamboostream/src/Lengths/life_table.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double bins_per_doubling = 4.0;
-/// Guards against rounding at the edge of a bin.
+/// Compensates for rounding errors at the edges of bins.
 constexpr double edge_slack = 1e-9;
 
 const std::array<double, life_table::bin_count + 1>& edges() {
@@ -33,10 +33,10 @@
     return edges()[bin];
 }
 
-void life_table::forget(counts& c) {
+void life_table::decay(counts& c) {
     const double all = c.passed + c.ended;
-    if (all > memory_outputs) {
-        const double keep = memory_outputs / all;
+    if (all > max_outputs) {
+        const double keep = max_outputs / all;
         c.passed *= keep;
         c.ended *= keep;
     }
@@ -50,14 +50,14 @@
     const std::size_t last = bin_of(to);
     for (std::size_t bin = first; bin < last; ++bin) {
         bins_[bin].passed += 1.0;
-        forget(bins_[bin]);
+        decay(bins_[bin]);
     }
 }
 
 void life_table::ended(std::uint32_t tokens) {
     counts& c = bins_[bin_of(tokens)];
     c.ended += 1.0;
-    forget(c);
+    decay(c);
 }
 
 double life_table::hazard(std::size_t bin, double prior, double prior_outputs) const {
@@ -65,17 +65,17 @@
     return (c.ended + prior * prior_outputs) / (c.ended + c.passed + prior_outputs);
 }
 
-length_curve::length_curve(const std::array<double, life_table::bin_count>& hazards) {
-    reaching_[0] = 1.0;
+survival_curve::survival_curve(const std::array<double, life_table::bin_count>& hazards) {
+    survival_[0] = 1.0;
     mean_ = 0.0;
     for (std::size_t i = 0; i < hazards.size(); ++i) {
         const double ending = i + 1 == hazards.size() ? 1.0 : hazards[i];
-        reaching_[i + 1] = reaching_[i] * (1.0 - ending);
-        mean_ += reaching_[i] * ending * (edges()[i] + edges()[i + 1]) / 2.0;
+        survival_[i + 1] = survival_[i] * (1.0 - ending);
+        mean_ += survival_[i] * ending * (edges()[i] + edges()[i + 1]) / 2.0;
     }
 }
 
-double length_curve::survival(double tokens) const {
+double survival_curve::survival(double tokens) const {
     if (tokens <= 1.0) {
         return 1.0;
     }
@@ -83,16 +83,16 @@
     const double low = edges()[bin];
     const double high = edges()[bin + 1];
     const double inside = std::clamp((tokens - low) / (high - low), 0.0, 1.0);
-    return reaching_[bin] + (reaching_[bin + 1] - reaching_[bin]) * inside;
+    return survival_[bin] + (survival_[bin + 1] - survival_[bin]) * inside;
 }
 
-double length_curve::conditional_quantile(std::uint32_t reached, double q) const {
+double survival_curve::conditional_quantile(std::uint32_t reached, double q) const {
     const double floor = static_cast<double>(reached) + 1.0;
     const double wanted = survival(floor) * (1.0 - q);
     for (std::size_t i = life_table::bin_of(floor); i < life_table::bin_count; ++i) {
-        if (reaching_[i + 1] <= wanted) {
-            const double drop = reaching_[i] - reaching_[i + 1];
-            const double share = drop > 0.0 ? (reaching_[i] - wanted) / drop : 1.0;
+        if (survival_[i + 1] <= wanted) {
+            const double drop = survival_[i] - survival_[i + 1];
+            const double share = drop > 0.0 ? (survival_[i] - wanted) / drop : 1.0;
             return std::max(floor, edges()[i] + share * (edges()[i + 1] - edges()[i]));
         }
     }
--- a/bamboostream/src/Limits/cold_start_limit.cpp
+++ b/bamboostream/src/Limits/cold_start_limit.cpp
@@ -11,61 +11,64 @@
 
 namespace {
 
-/// Requests that are sent within one second arrive within one, give or take a slow connection.
+/// One second, plus a margin: slow connections spread the arrival of requests that were sent within
+/// one second.
 constexpr milliseconds window{1'250};
-/// An instance that has just started knows few others, and one that has just become the owner of a
-/// service may share that view with few. Membership spreads within a second.
+/// An instance that has just started knows few others, and few others may know yet of the new owner
+/// of a service. Membership changes reach all instances within a second.
 constexpr milliseconds settling_time{2'000};
-constexpr seconds sighting_memory{60};
-/// Parts of the bound.
-constexpr double owner_part = 0.5;
-constexpr double deputy_part = 0.2;
-constexpr double stand_in_part = 0.1;
-constexpr double peer_part = 0.6;
-/// Of a part that is shared by turns: the turns of two seconds may fall into one, and some second
-/// has more of them than the mean.
-constexpr double turn_part = 0.3;
-
-double part_of(sender_role role) {
+constexpr seconds count_retention{60};
+/// Share of the limit that each role gets.
+constexpr double owner_share = 0.5;
+constexpr double standby_share = 0.2;
+constexpr double fallback_share = 0.1;
+constexpr double peer_share = 0.6;
+/// How much of a share is used when instances take turns: the turns of two consecutive seconds may
+/// fall into one sliding window, and some seconds have more turns than the mean.
+constexpr double turn_utilization = 0.3;
+
+double share_of(sender_role role) {
     switch (role) {
     case sender_role::owner:
-        return owner_part;
+        return owner_share;
     case sender_role::standby:
-        return deputy_part;
+        return standby_share;
     case sender_role::fallback:
-        return stand_in_part;
+        return fallback_share;
     case sender_role::peer:
         break;
     }
-    return peer_part;
+    return peer_share;
 }
 
-bool is_alone(sender_role role) {
+/// Whether one instance at a time has the role, so that it needn't divide the share.
+bool is_exclusive(sender_role role) {
     return role == sender_role::owner || role == sender_role::standby;
 }
 
 } // namespace
 
 void cold_start_limit::update_instance_count(std::size_t live, time_point now) {
-    if (!first_noted_) {
-        first_noted_ = now;
+    if (!first_update_) {
+        first_update_ = now;
     }
-    live_ = live;
-    while (!sightings_.empty() && now - sightings_.front().at > sighting_memory) {
-        sightings_.pop_front();
+    live_count_ = live;
+    while (!recent_counts_.empty() && now - recent_counts_.front().at > count_retention) {
+        recent_counts_.pop_front();
     }
-    while (!sightings_.empty() && sightings_.back().live <= live) {
-        sightings_.pop_back();
+    while (!recent_counts_.empty() && recent_counts_.back().live <= live) {
+        recent_counts_.pop_back();
     }
-    sightings_.push_back({now, live});
+    recent_counts_.push_back({now, live});
 }
 
-std::size_t cold_start_limit::most_instances() const {
-    return sightings_.empty() ? live_ : std::max(live_, sightings_.front().live);
+std::size_t cold_start_limit::max_recent_instances() const {
+    return recent_counts_.empty() ? live_count_
+                                  : std::max(live_count_, recent_counts_.front().live);
 }
 
 void cold_start_limit::update_role(const service_id& service, sender_role role, time_point now) {
-    const auto [held, is_new] = roles_.try_emplace(service, held_role{role, now});
+    const auto [held, is_new] = roles_.try_emplace(service, role_entry{role, now});
     if (!is_new && held->second.role != role) {
         held->second = {role, now};
     }
@@ -74,10 +77,11 @@
 sender_role cold_start_limit::role(const service_id& service, time_point now) const {
     const auto held = roles_.find(service);
     const bool settled = held != roles_.end() && now - held->second.since >= settling_time;
-    return settled && 2 * live_ > most_instances() ? held->second.role : sender_role::fallback;
+    return settled && 2 * live_count_ > max_recent_instances() ? held->second.role
+                                                               : sender_role::fallback;
 }
 
-std::size_t cold_start_limit::sent_lately(const backend_id& server, time_point now) {
+std::size_t cold_start_limit::sent_in_window(const backend_id& server, time_point now) {
     const auto found = sent_.find(server);
     if (found == sent_.end()) {
         return 0;
@@ -107,24 +111,25 @@
     if (!rules_ || per_second <= 0.0) {
         return true;
     }
-    if (!first_noted_ || now - *first_noted_ < settling_time) {
+    if (!first_update_ || now - *first_update_ < settling_time) {
         return false;
     }
     const double bound = std::floor(per_second * rules_->factor + rules_->slack);
-    const double part = bound * part_of(role);
-    const double own = is_alone(role) ? part : part / static_cast<double>(most_instances());
-    const auto sent = static_cast<double>(sent_lately(server, now));
+    const double part = bound * share_of(role);
+    const double own =
+        is_exclusive(role) ? part : part / static_cast<double>(max_recent_instances());
+    const auto sent = static_cast<double>(sent_in_window(server, now));
     if (own >= 1.0) {
         return sent + 1.0 <= own;
     }
-    if (is_alone(role)) {
+    if (is_exclusive(role)) {
         return false;
     }
-    return sent < 1.0 && has_turn(server, own * turn_part, now);
+    return sent < 1.0 && has_turn(server, own * turn_utilization, now);
 }
 
 void cold_start_limit::record_send(const backend_id& server, time_point now) {
-    sent_lately(server, now);
+    sent_in_window(server, now);
     sent_[server].push_back(now);
 }
 
--- a/bamboostream/src/Limits/cold_start_limit.h
+++ b/bamboostream/src/Limits/cold_start_limit.h
@@ -11,79 +11,85 @@
 
 namespace bamboostream {
 
-/// How far the requests of one second to a cold backend server may go beyond the rate that it
-/// bears: rate x `factor` + `slack`, from all instances together.
+/// Limit on the requests that all instances together send to a cold backend server in any second:
+/// sustainable rate x `factor` + `slack`.
 struct cold_start_rules {
     double factor = 1.0;
     double slack = 0.0;
 };
 
-/// As what an instance sends to the servers of a service. Each role has its own part of the bound,
-/// so that instances that disagree on who owns a service stay within it together.
+/// The role in which an instance sends to the servers of a service. Each role has its own share of
+/// the limit, so that instances that disagree on who owns a service still stay within it together.
 enum class sender_role : std::uint8_t {
-    /// Chooses for all.
+    /// Chooses servers for all instances.
     owner,
-    /// Chooses for those that the owner doesn't answer.
+    /// Chooses servers for the instances that get no answer from the owner.
     standby,
-    /// Chooses for itself, in place of an owner.
+    /// Chooses for itself because neither the owner nor the standby answered.
     fallback,
-    /// One of many that all choose for themselves.
+    /// Chooses for itself, as all instances do for a service without an owner.
     peer,
 };
 
-/// Bounds what a cold backend server gets in any second from all instances together, without asking
-/// any of them.
+/// Limits the requests that all instances together send to a cold backend server in any second,
+/// without communication between the instances.
 ///
-/// A server that has just started crashes when it gets more than it bears, and all its generations
-/// are lost. A count at each instance alone doesn't prevent that: 300 instances that find the same
-/// idle server send one request each. So the bound is divided: the owner of a service has half of
-/// it, its deputy a fifth, and all others together a tenth, by the largest number of instances that
-/// were known lately. Nobody has the part of a role that it took up just now, since the one before
-/// may not know yet. An instance whose part is less than one request takes turns with the others,
-/// by a hash of its address, the server and the second, whatever it knows of them.
+/// A server that has just started crashes when it gets more requests than it can take, and all its
+/// generations are lost. A limit in each instance alone doesn't prevent that: 300 instances that
+/// find the same idle server send one request each. So the limit is divided: the owner of a service
+/// has half of it, its standby a fifth, and all others together a tenth, divided by the largest
+/// number of instances known in the last minute. An instance that took up a role less than two
+/// seconds ago doesn't use the share of that role yet, since the previous holder may not know of
+/// the change. An instance whose share is less than one request takes turns with the others: a hash
+/// of its identity, the server and the second decides, so that it needs no knowledge of the others.
 ///
-/// Example: `if (limit.may_send(server, per_second, role, now)) { limit.record_send(server, now);
-/// ... }`
+/// Not thread-safe; lives on one thread.
+///
+/// Example: `if (limit.may_send(server, rate, role, now)) { limit.record_send(server, now); … }`
 class cold_start_limit {
 public:
-    /// `self` tells this instance from the others, in any way that lasts.
+    /// `self` identifies this instance; it must differ between instances and not change.
     explicit cold_start_limit(std::uint64_t self) : self_(self) {}
 
-    /// Without rules there is no bound.
+    /// Without rules there is no limit.
     void set_rules(std::optional<cold_start_rules> rules) { rules_ = rules; }
-    /// `live` instances are known, this one included.
+    /// Sets the number of live instances, this one included.
     void update_instance_count(std::size_t live, time_point now);
-    /// By its own view this instance has that role for a service. To be told often.
+    /// Sets the role that this instance has for a service in its own view. Call it regularly: a
+    /// role counts as settled two seconds after it was first reported.
     void update_role(const service_id& service, sender_role role, time_point now);
-    /// The role whose part it has. Only a stand-in's when it took its role up just now, has just
-    /// started, or has lost sight of half of the others.
+    /// The role whose share this instance may use: `fallback` if it took up its role less than two
+    /// seconds ago, or if it sees at most half of the instances known in the last minute.
     sender_role role(const service_id& service, time_point now) const;
-    /// Whether one more request may be sent to a cold server that bears `per_second`.
+    /// Whether one more request may be sent to a cold server that sustains `per_second` requests a
+    /// second. Always true without rules or with a rate of zero; otherwise false during the first
+    /// two seconds, in which an instance knows few others.
     bool may_send(const backend_id& server, double per_second, sender_role role, time_point now);
-    /// A request is sent to the server.
+    /// Counts a request that is sent to the server.
     void record_send(const backend_id& server, time_point now);
 
 private:
-    std::size_t sent_lately(const backend_id& server, time_point now);
-    std::size_t most_instances() const;
-    /// Whether it is this instance's turn, of one request a second among several instances.
+    std::size_t sent_in_window(const backend_id& server, time_point now);
+    std::size_t max_recent_instances() const;
+    /// Whether this instance may send its one request in the current second, which it may with the
+    /// given probability.
     bool has_turn(const backend_id& server, double probability, time_point now) const;
 
-    struct sighting {
+    struct count_sample {
         time_point at;
         std::size_t live;
     };
-    struct held_role {
+    struct role_entry {
         sender_role role = sender_role::fallback;
         time_point since;
     };
     std::uint64_t self_;
     std::optional<cold_start_rules> rules_;
-    std::optional<time_point> first_noted_;
-    std::size_t live_ = 1;
-    /// The largest numbers of instances lately, falling.
-    std::deque<sighting> sightings_;
-    std::unordered_map<service_id, held_role> roles_;
+    std::optional<time_point> first_update_;
+    std::size_t live_count_ = 1;
+    /// Recent instance counts, oldest first and strictly decreasing: the front is the maximum.
+    std::deque<count_sample> recent_counts_;
+    std::unordered_map<service_id, role_entry> roles_;
     std::unordered_map<backend_id, std::deque<time_point>> sent_;
 };
 
--- a/bamboostream/src/Limits/engine_admission.cpp
+++ b/bamboostream/src/Limits/engine_admission.cpp
@@ -4,7 +4,7 @@
 
 namespace bamboostream {
 
-duration expected_start(std::int64_t queued, std::int64_t prompt, double tokens_per_ms) {
+duration expected_prefill_time(std::int64_t queued, std::int64_t prompt, double tokens_per_ms) {
     return from_milliseconds(static_cast<double>(queued + prompt) / tokens_per_ms);
 }
 
@@ -13,13 +13,13 @@
     const double claimed = static_cast<double>(work.memory_tokens + request.work.memory_tokens) /
                            static_cast<double>(std::max<std::int64_t>(request.memory_tokens, 1));
     const int rank = std::clamp(request.priority, 0, rules.ranks - 1);
-    // Nothing else fits an engine that is empty.
+    // An idle engine admits a request of any size: one that exceeds the limit would fit nowhere.
     if (work.requests > 0 &&
         claimed > rules.max_claimed_fraction - rules.claimed_fraction_step * rank) {
         return admission_result::memory_full;
     }
     const duration start =
-        expected_start(work.unread_tokens, request.work.unread_tokens, tokens_per_ms);
+        expected_prefill_time(work.unread_tokens, request.work.unread_tokens, tokens_per_ms);
     if (work.unread_tokens > 0 && request.objective > duration{} &&
         to_milliseconds(start) > rules.max_start_fraction * to_milliseconds(request.objective)) {
         return admission_result::prompts_queued;
--- a/bamboostream/src/Limits/engine_admission.h
+++ b/bamboostream/src/Limits/engine_admission.h
@@ -7,46 +7,48 @@
 
 namespace bamboostream {
 
-/// Limits of what may be under way at an engine when one more generation is sent there.
+/// Limits on the work in progress at an engine, applied when one more generation is sent there.
 struct admission_rules {
-    /// Part of the objective within which the first event must be expected. What is left covers
-    /// prompts that are read beside a full batch.
+    /// Fraction of the latency objective within which the first event must be expected. The rest is
+    /// a reserve for prefill that is slowed down by a full batch.
     double max_start_fraction = 0.9;
-    /// Share of the engine's memory that its generations, the new one among them, will hold when
-    /// all have grown to their expected end, for a request of the most urgent rank. They end one
-    /// after the other, so it is over 1.
+    /// Fraction of the engine's memory that all its generations, including the new one, may hold at
+    /// their expected final lengths, for a request of the most urgent rank. It exceeds 1 because
+    /// generations end one after another and don't reach their final lengths at the same time.
     double max_claimed_fraction = 1.1;
-    /// How much less it is for each rank below: when memory runs out the more urgent are served.
+    /// Reduction of `max_claimed_fraction` for each lower rank, so that the more urgent requests
+    /// are still served when memory runs out.
     double claimed_fraction_step = 0.05;
-    /// Ranks below this are treated alike.
+    /// Number of ranks; lower priorities count as the last one.
     int ranks = 2;
 };
 
-/// A generation that asks for a place at an engine.
+/// A generation to be admitted to an engine.
 struct admission_request {
-    /// What it adds to the work there.
+    /// The work that it adds there.
     backend_work work;
-    /// Cache memory of the engine, in tokens.
+    /// Capacity of the engine's KV cache, in tokens.
     std::int64_t memory_tokens = 0;
+    /// Rank; 0 is the most urgent.
     int priority = 0;
-    /// Until the first event.
+    /// Latency objective for the first event; zero when there is none.
     duration objective{};
 };
 
-/// Why a generation is not sent to an engine.
+/// Whether a generation is admitted to an engine, or which limit it exceeds.
 enum class admission_result : std::uint8_t { admit, memory_full, prompts_queued };
 
-/// The time until an engine at which `queued` prompt tokens are unread has read `prompt` more,
-/// at `tokens_per_ms` tokens a millisecond.
-duration expected_start(std::int64_t queued, std::int64_t prompt, double tokens_per_ms);
+/// The time that an engine takes to prefill `queued` prompt tokens and then `prompt` more, at
+/// `tokens_per_ms` tokens a millisecond.
+duration expected_prefill_time(std::int64_t queued, std::int64_t prompt, double tokens_per_ms);
 
-/// Decides whether a generation may go to an engine where `work` is under way.
+/// Decides whether a generation may be sent to an engine that has `work` in progress.
 ///
-/// Engines serve first in, first out and take nothing back: who is sent to a long queue is late for
-/// certain, and so is everybody behind. Past saturation most of what engines read would then be for
-/// answers that come too late, and the more callers ask the fewer are served in time. So a request
-/// is admitted while its first event is expected within its objective, and while its memory will be
-/// there by then; otherwise it is told at once when to come back.
+/// Engines serve requests first in, first out and return none of them: a request sent to a long
+/// queue is certainly late, and so is every request behind it. Past saturation engines would spend
+/// most of their prefill on responses that come too late, and goodput would fall as the load grows.
+/// So a request is admitted only while its first event is expected within its objective and enough
+/// memory is expected to be free by then; otherwise it is refused at once with a time to retry.
 admission_result check_admission(const admission_rules& rules, const admission_request& request,
                                  const backend_work& work, double tokens_per_ms);
 
--- a/bamboostream/src/Limits/fair_queue.h
+++ b/bamboostream/src/Limits/fair_queue.h
@@ -13,64 +13,70 @@
 
 namespace bamboostream {
 
-/// A request that waits for a place on an engine.
-struct queued_work {
+/// A request that waits to be scheduled on an engine.
+struct queued_request {
     std::uint64_t id = 0;
     std::string workspace;
     priority_level priority = priority_level::standard;
     length_key lengths{};
     std::uint32_t prompt_tokens = 0;
     std::uint32_t max_tokens = 0;
-    /// Tokens the caller already has of a generation that is being started again.
+    /// Hash of the prompt's beginning, 0 when there is nothing to share.
     std::uint64_t prefix = 0;
-    /// Known length of the output, or 0.
+    /// Exact length of the output if it is known ahead, otherwise 0.
     std::uint32_t exact_output_tokens = 0;
     time_point arrived{};
-    /// The latest time at which a start is still of use to the caller.
+    /// Deadline for the start: a later start is of no use to the caller.
     time_point start_by{};
-    /// Expected output tokens when it arrived.
+    /// Expected output tokens, estimated on arrival.
     double expected_tokens = 0.0;
-    /// Backend servers that failed this request before.
+    /// Backend servers on which this request has failed before.
     std::vector<std::string> avoid;
-    /// It was told to come back at this time.
-    bool returned = false;
+    /// The request is a retry that came at the time reserved for it.
+    bool is_scheduled_retry = false;
 };
 
 /// Weighted fair queueing over workspaces by tokens served, with priorities inside a workspace.
 ///
-/// Each workspace has a virtual time that advances by tokens / weight as it is served; the one
-/// furthest behind goes next. An idle or new workspace starts at the present virtual time, so it
-/// has no stored-up credit, and one with only long outputs pays for every token of them. Work
-/// conserving: whoever waits alone gets everything.
+/// Each workspace has a virtual time that advances by tokens / weight as it is served; the
+/// workspace with the smallest virtual time is served next. A new workspace, or one that was idle,
+/// starts at the current virtual time, so that idle time accumulates no credit. A workspace with
+/// long outputs is charged for every token of them. Work conserving: a workspace that waits alone
+/// gets the whole service.
 ///
-/// Example: `queue.push(work, now); … queue.take(id); queue.charge("acme", 250);`
+/// Example: `queue.push(work); … queue.take(id, work); queue.charge("acme", 250);`
 class fair_queue {
 public:
     void set_weight(const std::string& workspace, double weight);
-    void push(queued_work work);
-    /// The `most` workspaces with waiting work that are to be served next, the next one first.
-    void order(std::vector<std::string_view>& out, std::size_t most) const;
-    /// The waiting request of `workspace` to serve next, or null.
-    const queued_work* head(std::string_view workspace, bool shortest_first, time_point now) const;
-    /// Takes a waiting request out; false when it isn't there.
-    bool take(std::uint64_t id, queued_work& out);
-    /// Charges tokens to a workspace; negative to give back what was charged too much.
+    void push(queued_request work);
+    /// Writes to `out` at most `max_count` workspaces with waiting requests, in the order in which
+    /// they are to be served.
+    void next_workspaces(std::vector<std::string_view>& out, std::size_t max_count) const;
+    /// The waiting request of `workspace` to serve next, or null. With `shortest_first` that is the
+    /// one with the shortest expected output, less the ageing for its wait.
+    const queued_request* head(std::string_view workspace, bool shortest_first,
+                               time_point now) const;
+    /// Moves a waiting request to `out` and removes it from the queue; false if it isn't there.
+    bool take(std::uint64_t id, queued_request& out);
+    /// Charges tokens to a workspace; a negative number refunds an overcharge.
     void charge(const std::string& workspace, double tokens);
-    bool contains(std::uint64_t id) const { return where_.contains(id); }
-    std::size_t size() const { return where_.size(); }
-    /// Expected tokens of everything waiting.
+    bool contains(std::uint64_t id) const { return locations_.contains(id); }
+    std::size_t size() const { return locations_.size(); }
+    /// Expected tokens of all waiting requests.
     double waiting_tokens() const { return waiting_tokens_; }
-    /// Expected tokens that a new request of this workspace and priority has to wait for: those of
-    /// its priority and above, as far as they are not expected to be longer than `longest`.
+    /// Expected tokens served before a new request of this workspace and priority: those of waiting
+    /// requests of its priority and above that are not expected to be longer than `longest`.
     double tokens_ahead(std::string_view workspace, priority_level priority, double longest) const;
     std::size_t waiting(std::string_view workspace) const;
-    /// The share of service a workspace gets while everyone now waiting waits, itself included.
+    /// The share of the service that a workspace gets while it and all workspaces that have
+    /// requests waiting now compete for it.
     double share(std::string_view workspace) const;
-    /// Calls `visit(const queued_work&)` for every waiting request, oldest first in each class.
+    /// Calls `visit(const queued_request&)` for every waiting request, oldest first within each
+    /// workspace and priority.
     template <class Visitor> void for_each(Visitor&& visit) const {
-        for (const auto& [name, lane] : lanes_) {
-            for (const auto& level : lane.levels) {
-                for (const queued_work& work : level) {
+        for (const auto& [name, state] : queues_) {
+            for (const auto& level : state.levels) {
+                for (const queued_request& work : level) {
                     visit(work);
                 }
             }
@@ -79,26 +85,26 @@
 
 private:
     static constexpr std::size_t level_count = 3;
-    /// Waiting tokens by the power of two of the expected length.
-    static constexpr std::size_t size_count = 24;
-    static std::size_t size_of(double expected_tokens);
-    struct lane {
+    /// Waiting tokens are kept in buckets by the power of two of the expected length.
+    static constexpr std::size_t bucket_count = 24;
+    static std::size_t length_bucket(double expected_tokens);
+    struct workspace_queue {
         double weight = 1.0;
         double virtual_time = 0.0;
-        std::array<std::array<double, size_count>, level_count> waiting_tokens{};
+        std::array<std::array<double, bucket_count>, level_count> waiting_tokens{};
         std::size_t waiting = 0;
-        /// Virtual time of each priority inside the workspace.
+        /// Virtual time of each priority within the workspace.
         std::array<double, level_count> level_time{};
-        std::array<std::deque<queued_work>, level_count> levels;
+        std::array<std::deque<queued_request>, level_count> levels;
     };
-    struct place {
+    struct location {
         std::string workspace;
         std::size_t level = 0;
     };
 
-    std::unordered_map<std::string, lane> lanes_;
-    std::unordered_map<std::uint64_t, place> where_;
-    double now_virtual_ = 0.0;
+    std::unordered_map<std::string, workspace_queue> queues_;
+    std::unordered_map<std::uint64_t, location> locations_;
+    double current_virtual_time_ = 0.0;
     double waiting_tokens_ = 0.0;
 };
 
--- a/bamboostream/src/Limits/overload_tracker.h
+++ b/bamboostream/src/Limits/overload_tracker.h
@@ -6,18 +6,19 @@
 
 namespace bamboostream {
 
-/// How long requests have been refused without a pause.
+/// Measures how long requests have been refused without a pause.
 ///
-/// A crowd that has lasted for some time is likely to last as long again: callers that are told to
-/// return within a moment of a lasting one are refused a second time and have no answer at all.
-/// Those refused in a moment's crowd find room when it is over.
+/// An overload that has lasted for some time is likely to last as long again: callers that retry
+/// soon during a long overload are refused a second time and get no response at all. Callers
+/// refused in a transient overload find free capacity when they retry soon. Not thread-safe.
 ///
-/// Example: `const duration lasts = watch.record_refusal(now);`
+/// Example: `const duration overload = tracker.record_refusal(now);`
 class overload_tracker {
 public:
-    /// A request is refused for want of room. How long this has gone on.
+    /// Records that a request is refused for lack of capacity. Returns how long the overload has
+    /// lasted, zero for its first refusal.
     duration record_refusal(time_point now) {
-        if (!since_ || now - latest_ > longest_pause) {
+        if (!since_ || now - latest_ > max_pause) {
             since_ = now;
         }
         latest_ = now;
@@ -25,8 +26,8 @@
     }
 
 private:
-    /// Without a refusal for so long the crowd is over.
-    static constexpr milliseconds longest_pause{1'000};
+    /// The overload is over after this time without a refusal.
+    static constexpr milliseconds max_pause{1'000};
 
     std::optional<time_point> since_;
     time_point latest_{};
--- a/bamboostream/src/Limits/quarantine_registry.cpp
+++ b/bamboostream/src/Limits/quarantine_registry.cpp
@@ -8,34 +8,34 @@
 
 namespace {
 
-/// Bytes of target and body.
-constexpr std::size_t short_request = 512;
+/// Largest size of a short request, target and body together.
+constexpr std::size_t short_request_bytes = 512;
 
 } // namespace
 
 void quarantine_registry::take(std::span<const crash_evidence> evidence, std::string_view origin,
                                time_point now) {
     if (quarantine_.add_evidence(evidence, now)) {
-        carry_out_changes(origin, now);
+        apply_changes(origin, now);
     }
 }
 
 void quarantine_registry::add_local_evidence(crash_evidence evidence, time_point now) {
-    evidence.cleared = evidence.cleared || answers_.has(evidence.request, now);
+    evidence.cleared = evidence.cleared || recent_responses_.contains(evidence.request, now);
     take({&evidence, 1}, "own", now);
     announce(evidence);
 }
 
 bool quarantine_registry::wants_answer(std::size_t request_bytes) const {
-    return any() || request_bytes <= short_request;
+    return any() || request_bytes <= short_request_bytes;
 }
 
 void quarantine_registry::note_answer(const request_digest& request, time_point now) {
-    answers_.note(request, now);
+    recent_responses_.record(request, now);
     if (!quarantine_.clear(request, now)) {
         return;
     }
-    carry_out_changes("answered", now);
+    apply_changes("answered", now);
     for (const crash_evidence& evidence : quarantine_.evidence_of(request)) {
         announce(evidence);
     }
@@ -43,13 +43,13 @@
 
 void quarantine_registry::expire(time_point now) {
     quarantine_.expire(now);
-    carry_out_changes("expired", now);
+    apply_changes("expired", now);
 }
 
 void quarantine_registry::clear_listeners() {
     on_evidence_ = nullptr;
     on_change_ = nullptr;
-    names_ = nullptr;
+    server_name_lookup_ = nullptr;
 }
 
 void quarantine_registry::announce(const crash_evidence& evidence) const {
@@ -64,14 +64,15 @@
         if (evidence.cleared) {
             continue;
         }
-        const std::string name = names_ ? names_(evidence.server) : std::string();
+        const std::string name =
+            server_name_lookup_ ? server_name_lookup_(evidence.server) : std::string();
         out += out.empty() ? "" : ",";
         out += name.empty() ? fmt::format("{:016x}", evidence.server) : name;
     }
     return out;
 }
 
-void quarantine_registry::carry_out_changes(std::string_view origin, time_point now) {
+void quarantine_registry::apply_changes(std::string_view origin, time_point now) {
     for (const request_digest& request : quarantine_.take_changes()) {
         if (holds(request)) {
             log_event(events::request_quarantined,
--- a/bamboostream/src/Limits/request_quarantine.cpp
+++ b/bamboostream/src/Limits/request_quarantine.cpp
@@ -28,11 +28,12 @@
             evidence_.upper_bound({request, std::numeric_limits<std::uint64_t>::max()})};
 }
 
-time_point request_quarantine::lapses_at(evidence_map::const_iterator which) const {
+time_point request_quarantine::expires_at(evidence_map::const_iterator which) const {
     const crash_evidence& evidence = which->second;
     const bool counts = !evidence.cleared && is_suspicious(which);
     const bool kept = counts || holds(evidence.request);
-    return evidence.at + (kept ? duration(rules_.hold) : duration(rules_.suspicion));
+    return evidence.at +
+           (kept ? duration(rules_.hold_time) : duration(rules_.single_server_lifetime));
 }
 
 request_quarantine::effect request_quarantine::record(const crash_evidence& evidence,
@@ -45,10 +46,10 @@
         known->second.cleared = true;
         return effect::decides;
     }
-    if (now >= evidence.at + rules_.hold) {
+    if (now >= evidence.at + rules_.hold_time) {
         return effect::none;
     }
-    make_room(evidence.caller);
+    evict_if_full(evidence.caller);
     evidence_.emplace(key, evidence);
     ++by_caller_[evidence.caller];
     const auto [begin, end] = range_of(evidence.request);
@@ -62,7 +63,7 @@
         strongest = std::max(strongest, record(it, now));
     }
     if (strongest == effect::decides) {
-        judge();
+        update_held();
     }
     return strongest != effect::none;
 }
@@ -79,14 +80,14 @@
     bool any = false;
     for (auto it = evidence_.cbegin(); it != evidence_.cend();) {
         const auto next = std::next(it);
-        if (now >= lapses_at(it)) {
+        if (now >= expires_at(it)) {
             erase(it);
             any = true;
         }
         it = next;
     }
     if (any) {
-        judge();
+        update_held();
     }
 }
 
@@ -104,11 +105,13 @@
            (which != evidence_.cbegin() && std::prev(which)->first.first == request);
 }
 
-/// Evicts the oldest evidence, what decides last.
-void request_quarantine::make_room(std::uint64_t caller) {
+/// Evicts the oldest evidence; evidence against held requests goes last, and before it the evidence
+/// against requests with several crashed servers.
+void request_quarantine::evict_if_full(std::uint64_t caller) {
     const auto found = by_caller_.find(caller);
-    const bool caller_full = found != by_caller_.end() && found->second >= rules_.most_of_a_caller;
-    if (!caller_full && evidence_.size() < rules_.most) {
+    const bool caller_full =
+        found != by_caller_.end() && found->second >= rules_.max_evidence_per_caller;
+    if (!caller_full && evidence_.size() < rules_.max_evidence) {
         return;
     }
     auto oldest = evidence_.cend();
@@ -126,11 +129,11 @@
     }
 }
 
-request_quarantine::charge
-request_quarantine::charge_of(const request_digest& request,
-                              const std::set<std::uint64_t>& explained) const {
-    charge out;
-    std::size_t in_all = 0;
+request_quarantine::evidence_weight
+request_quarantine::weight_of(const request_digest& request,
+                              const std::set<std::uint64_t>& attributed) const {
+    evidence_weight out;
+    std::size_t total = 0;
     time_point first = time_point::max();
     time_point last = time_point::min();
     const auto [begin, end] = range_of(request);
@@ -139,25 +142,25 @@
         if (evidence.cleared) {
             continue;
         }
-        ++in_all;
+        ++total;
         first = std::min(first, evidence.at);
         last = std::max(last, evidence.at);
-        if (!explained.contains(evidence.server)) {
+        if (!attributed.contains(evidence.server)) {
             ++out.servers;
             out.answering += evidence.answering ? 1 : 0;
         }
     }
-    const bool repeated = in_all > rules_.servers && out.servers > 0;
+    const bool repeated = total > rules_.servers && out.servers > 0;
     const bool enough =
-        (out.servers >= rules_.servers || repeated) && last - first > rules_.one_moment;
-    return enough ? out : charge{};
+        (out.servers >= rules_.servers || repeated) && last - first > rules_.common_cause_window;
+    return enough ? out : evidence_weight{};
 }
 
 std::vector<request_digest> request_quarantine::candidates() const {
     std::vector<request_digest> out;
     for (auto it = evidence_.cbegin(); it != evidence_.cend();) {
         const request_digest request = it->first.first;
-        if (charge_of(request, {}).servers > 0) {
+        if (weight_of(request, {}).servers > 0) {
             out.push_back(request);
         }
         it = range_of(request).second;
@@ -165,31 +168,32 @@
     return out;
 }
 
-/// Of requests that were on the same servers the one that was there most often explains these ends;
-/// the others go free unless enough is left against them. One that was on enough servers and then
-/// on another one without that request is not a bystander: two harmful requests would go free in
-/// turns.
-void request_quarantine::judge() {
-    std::vector<request_digest> open = candidates();
+/// Greedy attribution: of the requests that were on the same crashed servers, the one present at
+/// most of the crashes is held, and these crashes no longer count against the other requests. Those
+/// are held only if the remaining evidence suffices. A request that was on more than `servers`
+/// crashed servers, at least one of them without a held request, is not a bystander: otherwise two
+/// harmful requests could clear each other in turns.
+void request_quarantine::update_held() {
+    std::vector<request_digest> undecided = candidates();
     std::set<request_digest> held;
-    std::set<std::uint64_t> explained;
-    while (!open.empty()) {
+    std::set<std::uint64_t> attributed;
+    while (!undecided.empty()) {
         const auto worst =
-            std::max_element(open.begin(), open.end(), [&](const auto& a, const auto& b) {
-                return std::pair(charge_of(a, explained), a) <
-                       std::pair(charge_of(b, explained), b);
+            std::max_element(undecided.begin(), undecided.end(), [&](const auto& a, const auto& b) {
+                return std::pair(weight_of(a, attributed), a) <
+                       std::pair(weight_of(b, attributed), b);
             });
-        if (charge_of(*worst, explained).servers == 0) {
+        if (weight_of(*worst, attributed).servers == 0) {
             break;
         }
         const auto [begin, end] = range_of(*worst);
         for (auto it = begin; it != end; ++it) {
             if (!it->second.cleared) {
-                explained.insert(it->second.server);
+                attributed.insert(it->second.server);
             }
         }
         held.insert(*worst);
-        open.erase(worst);
+        undecided.erase(worst);
     }
     std::set_symmetric_difference(held_.begin(), held_.end(), held.begin(), held.end(),
                                   std::inserter(changed_, changed_.end()));
@@ -197,10 +201,10 @@
 }
 
 duration request_quarantine::held_for(const request_digest& request, time_point now) const {
-    duration least = rules_.hold;
+    duration least = rules_.hold_time;
     const auto [begin, end] = range_of(request);
     for (auto it = begin; it != end; ++it) {
-        least = std::min(least, it->second.at + rules_.hold - now);
+        least = std::min(least, it->second.at + rules_.hold_time - now);
     }
     return std::max(least, duration{});
 }
--- a/bamboostream/src/Limits/request_quarantine.h
+++ b/bamboostream/src/Limits/request_quarantine.h
@@ -16,78 +16,84 @@
 
 namespace bamboostream {
 
-/// Names one life of a server in evidence: a server may start again under the name that it had.
+/// Identifies one incarnation of a server in evidence: a server may restart under the same name.
 std::uint64_t incarnation_key(std::string_view server, std::int64_t start_stamp);
 
-/// A request that was open on a backend server when the server's process ended.
+/// Evidence that a request crashes servers: it was open on a backend server when the server's
+/// process ended.
 struct crash_evidence {
     request_digest request;
-    /// One life of one server.
+    /// The `incarnation_key` of the server.
     std::uint64_t server = 0;
-    /// The hash of the workspace that sent the request.
+    /// Hash of the workspace that sent the request.
     std::uint64_t caller = 0;
-    /// When the server ended.
+    /// When the server's process ended.
     time_point at{};
-    /// The server had begun to answer the request.
+    /// The server had begun to respond to the request.
     bool answering = false;
-    /// An equal request has been answered since: the evidence counts no more.
+    /// An identical request has been answered since: the evidence no longer counts.
     bool cleared = false;
 };
 
-/// When a request is refused because of what it does to backend servers.
+/// Conditions under which a request is held, that is refused because it crashes backend servers.
 struct quarantine_rules {
-    /// Servers that ended while they ran the request.
+    /// Number of servers that must have crashed while they ran the request.
     std::size_t servers = 3;
-    /// Servers that end within this time of each other may have a common cause, such as a lost
-    /// rack.
-    milliseconds one_moment{100};
-    /// How long evidence of a single server lasts.
-    std::chrono::seconds suspicion{120};
-    /// How long a request is held, and evidence of several servers lasts: the servers may have been
-    /// repaired by then.
-    std::chrono::minutes hold{30};
-    /// Pieces of evidence. A caller above its bound evicts its own only.
-    std::size_t most_of_a_caller = 256;
-    std::size_t most = 8'192;
+    /// Crashes within this time of each other may have a common cause, such as the loss of a rack:
+    /// the crashes must span more than it.
+    milliseconds common_cause_window{100};
+    /// How long evidence is kept while it concerns a single server.
+    std::chrono::seconds single_server_lifetime{120};
+    /// How long a request is held and evidence of several servers is kept. The servers may have
+    /// been repaired by then.
+    std::chrono::minutes hold_time{30};
+    /// Limits on the pieces of evidence, for each caller and in total. A caller above its limit
+    /// evicts only its own evidence.
+    std::size_t max_evidence_per_caller = 256;
+    std::size_t max_evidence = 8'192;
 };
 
-/// Decides which requests end the backend servers that run them.
+/// Detects requests that crash the backend servers that run them.
 ///
-/// Retrying such a request, or admitting the next attempt of its caller, ends one server after
-/// another and cuts the generations beside it. Attempts have ids of their own, so they are matched
-/// by the digest of their content. A request is held when several servers ended under it at
-/// different times. Bystanders are not held: an end counts against one held request only, the one
-/// that was there most often, until the other is on a further server that ends; and an answer to an
-/// equal request clears it.
+/// Retrying such a request, or admitting its caller's next attempt, crashes one server after
+/// another and interrupts the generations that run beside it. Attempts have different ids, so
+/// requests are matched by a digest of their content. A request is held, that is refused, when
+/// several servers have crashed under it at different times. Bystanders are not held: a crash
+/// counts against one held request only, the one that was present at most of the crashes, unless
+/// the other request was present at further crashes without it. A response to an identical request
+/// clears the evidence.
 ///
-/// Guarantees: evidence is a set, in any order and with repeats; instances with the same evidence
-/// hold the same requests; memory is bounded for each caller. Lives on one thread.
+/// Guarantees: evidence is a set, so order and repetition have no effect; instances with the same
+/// evidence hold the same requests; memory is bounded, for each caller and in total. Not
+/// thread-safe; lives on one thread.
 ///
 /// Example: `if (quarantine.any() && quarantine.holds(digest)) refuse();`
 class request_quarantine {
 public:
     explicit request_quarantine(quarantine_rules rules = {}) : rules_(rules) {}
 
-    /// Takes evidence of this or another instance; false when all of it was known.
+    /// Adds evidence found by this or another instance; false if all of it was known.
     bool add_evidence(std::span<const crash_evidence> evidence, time_point now);
     bool add_evidence(const crash_evidence& evidence, time_point now) {
         return add_evidence({&evidence, 1}, now);
     }
-    /// A request of this digest got its whole answer. True when that cleared any evidence.
+    /// Records that a request with this digest got its complete response. True if that cleared any
+    /// evidence.
     bool clear(const request_digest& request, time_point now);
-    /// Drops evidence that is too old.
+    /// Removes evidence that is too old.
     void expire(time_point now);
 
-    /// Whether there is any evidence: while there is none, no request needs a digest.
+    /// Whether there is any evidence. While there is none, requests need no digest.
     bool any() const { return !evidence_.empty(); }
     bool holds(const request_digest& request) const { return held_.contains(request); }
-    /// How much longer a held request is refused.
+    /// Remaining time for which a held request is refused.
     duration held_for(const request_digest& request, time_point now) const;
-    /// Requests that are held or no longer held since the last call.
+    /// Returns the requests that became held or are no longer held since the last call.
     std::vector<request_digest> take_changes();
 
     std::vector<crash_evidence> evidence() const;
-    /// Evidence against requests that several servers ended under: little, and all that decides.
+    /// Evidence against requests under which several servers crashed: a small part of all evidence,
+    /// and the only part that affects decisions.
     std::vector<crash_evidence> suspicious_evidence() const;
     std::vector<crash_evidence> evidence_of(const request_digest& request) const;
     /// Equal on instances that have the same suspicious evidence.
@@ -99,29 +105,31 @@
     /// A request and a server.
     using evidence_key = std::pair<request_digest, std::uint64_t>;
     using evidence_map = std::map<evidence_key, crash_evidence>;
-    /// How much speaks against a request; the greater is held first.
-    struct charge {
+    /// Weight of the evidence against a request; the request with the greatest is held first.
+    struct evidence_weight {
         std::size_t servers = 0;
         std::size_t answering = 0;
-        auto operator<=>(const charge&) const = default;
+        auto operator<=>(const evidence_weight&) const = default;
     };
 
     std::pair<evidence_map::const_iterator, evidence_map::const_iterator>
     range_of(const request_digest& request) const;
-    /// What speaks against a request but for the servers that are `explained`; no servers when that
-    /// is not enough to hold it.
-    charge charge_of(const request_digest& request, const std::set<std::uint64_t>& explained) const;
-    /// Requests that enough servers ended under, whatever else explains these ends.
+    /// Weight of the evidence against a request, without the crashes of servers in `attributed`.
+    /// Zero if the evidence doesn't suffice to hold it.
+    evidence_weight weight_of(const request_digest& request,
+                              const std::set<std::uint64_t>& attributed) const;
+    /// Requests under which enough servers crashed, whether or not another request was present.
     std::vector<request_digest> candidates() const;
-    void judge();
-    /// What a piece of evidence changes: nothing, the evidence, or possibly what is held.
+    void update_held();
+    /// Effect of a piece of evidence: none, it was recorded, or it may change which requests are
+    /// held.
     enum class effect : std::uint8_t { none, recorded, decides };
     effect record(const crash_evidence& evidence, time_point now);
-    void make_room(std::uint64_t caller);
-    /// Whether there is evidence of another server against the same request.
+    void evict_if_full(std::uint64_t caller);
+    /// Whether there is evidence from another server against the same request.
     bool is_suspicious(evidence_map::const_iterator which) const;
     void erase(evidence_map::const_iterator which);
-    time_point lapses_at(evidence_map::const_iterator which) const;
+    time_point expires_at(evidence_map::const_iterator which) const;
 
     quarantine_rules rules_;
     evidence_map evidence_;
--- a/bamboostream/src/Limits/retry_delay.cpp
+++ b/bamboostream/src/Limits/retry_delay.cpp
@@ -6,29 +6,31 @@
 
 namespace {
 
-/// After a crowd: half the objective, doubled at most by the spread.
-constexpr double crowd_part = 0.5;
-constexpr double crowd_spread = 2.0;
-constexpr milliseconds least_after_crowd{100};
-constexpr milliseconds most_after_crowd{1'000};
-/// Callers wait at most this part of their patience.
-constexpr double honoured_part = 1.0 / 3.0;
-/// Of times near the latest that callers honour: less spread leaves more of that for the wait.
-constexpr double lasting_spread = 1.3;
-/// While nothing is known: a quarter of the patience, with the spread just under what they wait.
-constexpr double outage_part = 0.25;
-constexpr milliseconds least_after_outage{100};
-/// Outages of the store last 2 to 9 s on the days seen; half of them are over by then.
-constexpr milliseconds most_after_outage{5'000};
-/// Callers use another address after a refusal.
-constexpr milliseconds elsewhere{50};
-
-duration spread(duration base, double most, std::mt19937_64& random) {
+/// Delay after a transient overload: half the objective, at most doubled by randomization.
+constexpr double transient_fraction = 0.5;
+constexpr double transient_spread = 2.0;
+constexpr milliseconds min_transient_delay{100};
+constexpr milliseconds max_transient_delay{1'000};
+/// Callers honour a retry delay of at most this fraction of their remaining timeout.
+constexpr double max_wait_fraction = 1.0 / 3.0;
+/// Randomization of delays close to the longest that callers honour: a smaller spread leaves more
+/// of it for the delay itself.
+constexpr double long_spread = 1.3;
+/// Delay while the state is unknown: a quarter of the caller's timeout, which `long_spread` raises
+/// to just under the third that callers honour.
+constexpr double outage_fraction = 0.25;
+constexpr milliseconds min_outage_delay{100};
+/// Observed outages of the store last 2 to 9 s; half of them are over by then.
+constexpr milliseconds max_outage_delay{5'000};
+/// Short, since callers send the retry to another address.
+constexpr milliseconds leaving_delay{50};
+
+duration randomize(duration base, double most, std::mt19937_64& random) {
     return std::chrono::duration_cast<duration>(
         base * std::uniform_real_distribution<double>(1.0, most)(random));
 }
 
-duration part_of(duration whole, double part, milliseconds least, milliseconds most) {
+duration fraction_of(duration whole, double part, milliseconds least, milliseconds most) {
     const auto wanted = std::chrono::duration_cast<duration>(whole * part);
     return std::clamp<duration>(wanted, least, most);
 }
@@ -37,26 +39,28 @@
 
 duration choose_retry_delay(const refused_request& request, std::mt19937_64& random) {
     if (request.cause == refusal_cause::leaving) {
-        return elsewhere;
+        return leaving_delay;
     }
     if (request.cause == refusal_cause::quarantined) {
         return request.quarantine;
     }
-    if (request.cause == refusal_cause::state_unknown && request.patience) {
-        const duration base =
-            part_of(*request.patience, outage_part, least_after_outage, most_after_outage);
-        return spread(base, lasting_spread, random);
+    if (request.cause == refusal_cause::state_unknown && request.caller_timeout) {
+        const duration base = fraction_of(*request.caller_timeout, outage_fraction,
+                                          min_outage_delay, max_outage_delay);
+        return randomize(base, long_spread, random);
     }
     const duration objective =
-        request.objective > duration{} ? request.objective : duration(2 * most_after_crowd);
-    const duration moment = part_of(objective, crowd_part, least_after_crowd, most_after_crowd);
-    if (request.overload <= moment || !request.patience) {
-        return spread(moment, crowd_spread, random);
+        request.objective > duration{} ? request.objective : duration(2 * max_transient_delay);
+    const duration transient_delay =
+        fraction_of(objective, transient_fraction, min_transient_delay, max_transient_delay);
+    if (request.overload <= transient_delay || !request.caller_timeout) {
+        return randomize(transient_delay, transient_spread, random);
     }
-    const auto honoured = std::chrono::duration_cast<duration>(*request.patience * honoured_part);
-    const auto latest = std::chrono::duration_cast<duration>(honoured / lasting_spread);
-    return std::min(spread(request.overload, crowd_spread, random),
-                    spread(std::max(moment, latest), lasting_spread, random));
+    const auto max_accepted =
+        std::chrono::duration_cast<duration>(*request.caller_timeout * max_wait_fraction);
+    const auto latest = std::chrono::duration_cast<duration>(max_accepted / long_spread);
+    return std::min(randomize(request.overload, transient_spread, random),
+                    randomize(std::max(transient_delay, latest), long_spread, random));
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Limits/retry_delay.h
+++ b/bamboostream/src/Limits/retry_delay.h
@@ -8,39 +8,40 @@
 
 namespace bamboostream {
 
-/// Why a request was not run, as far as it tells when coming back makes sense.
+/// Why a request was refused, as far as it affects when a retry makes sense.
 enum class refusal_cause : std::uint8_t {
-    /// Servers are there and have no room, or refused.
+    /// Servers exist but have no capacity left, or refused the request.
     overloaded,
-    /// Which routes or servers there are is not known: the platform's store is away, and this
-    /// instance has started since or knows only servers that have gone.
+    /// Routes or servers are unknown: the platform's store is unavailable, and this instance
+    /// started
+    /// after the outage began or knows only servers that have gone.
     state_unknown,
-    /// This instance ends; others serve.
+    /// This instance is shutting down; others serve.
     leaving,
-    /// Servers ended under earlier attempts at the same request.
+    /// The request is quarantined: servers crashed while they ran earlier attempts at it.
     quarantined,
 };
 
-/// What a refused request is about.
+/// The properties of a refused request that determine its retry delay.
 struct refused_request {
     refusal_cause cause = refusal_cause::overloaded;
-    /// Time in which an answer earns its full worth; zero when no route is known.
+    /// Latency objective of the route; zero when no route is known.
     duration objective{};
-    /// How long the caller still waits; nothing when it didn't say.
-    std::optional<milliseconds> patience;
-    /// How long callers have been refused for want of room.
+    /// Remaining time that the caller waits; empty when it didn't state a timeout.
+    std::optional<milliseconds> caller_timeout;
+    /// How long requests have been refused for lack of capacity without a pause.
     duration overload{};
-    /// How much longer the request is held, when that is the cause.
+    /// Remaining quarantine of the request, if that is the cause.
     duration quarantine{};
 };
 
-/// When a refused caller is told to come back, spread at random so that a crowd doesn't return as
-/// one.
+/// Returns the time after which a refused caller should retry, randomized so that callers refused
+/// together don't all retry at the same moment.
 ///
-/// A moment's crowd passes within the objective, so its callers come back soon. One that has lasted
-/// longer is expected to last as long again, and outages of a store last seconds: callers who
-/// return within either are refused a second time and have no answer at all. They are told a later
-/// time, at most the third of their patience that they wait.
+/// A transient overload passes within the objective, so its callers retry soon. One that has lasted
+/// longer is expected to last as long again, and outages of a store last seconds: callers that
+/// retry during either are refused a second time and get no response at all. They get a longer
+/// delay, up to a third of their remaining timeout, which is the longest delay that callers honour.
 duration choose_retry_delay(const refused_request& request, std::mt19937_64& random);
 
 } // namespace bamboostream
--- a/bamboostream/src/Limits/service_rate.h
+++ b/bamboostream/src/Limits/service_rate.h
@@ -7,8 +7,8 @@
 
 namespace bamboostream::internal {
 
-/// The rate at which a pool serves tokens while requests wait for it, as a moving average. While
-/// nothing waits the rate says nothing about what the pool could serve, so it isn't updated.
+/// Moving average of the rate at which a pool serves tokens while requests wait. While none wait
+/// the observed rate is below what the pool could serve, so it isn't recorded.
 class service_rate {
 public:
     void add(double tokens) { tokens_ += tokens; }
@@ -32,7 +32,7 @@
         tokens_ = 0.0;
     }
 
-    /// True once enough saturated time has been seen to trust the rate.
+    /// Whether enough saturated time has been observed for the rate to be reliable.
     bool known() const { return seen_seconds_ >= trusted_seconds; }
     double tokens_per_second() const { return rate_; }
 
--- a/bamboostream/src/Routing/backend_picker.cpp
+++ b/bamboostream/src/Routing/backend_picker.cpp
@@ -7,36 +7,38 @@
 
 namespace {
 
-/// Tokens of prompts whose reading costs a new request as much as a server full of memory.
-constexpr double unread_tokens_like_full = 14'000.0;
-/// What another failure domain costs, in shares of a full server: little beside a queue.
-constexpr double far_cost = 0.02;
-/// Failures count as so much of a full server; the smoothing forgets half of one in six answers.
-constexpr double failing_cost = 1.5;
-constexpr double failing_smoothing = 0.12;
-/// A server that could not be reached is tried again after this; a cut link heals in seconds, and
-/// one connection then tells.
-constexpr milliseconds unreachable_for{2'500};
-/// What a server that is still slow after its start costs.
+/// Pending prompt tokens whose prefill costs a new request as much as a server with full memory.
+constexpr double unread_tokens_per_full_server = 14'000.0;
+/// Cost of a server in another failure domain, as a fraction of a full server: little compared with
+/// a queue.
+constexpr double remote_domain_cost = 0.02;
+/// Cost of a failure rate of 1, in full servers. The smoothing halves the weight of a failure
+/// within six responses.
+constexpr double failure_rate_cost = 1.5;
+constexpr double failure_rate_smoothing = 0.12;
+/// A server that could not be reached is excluded for this long. Network partitions heal within
+/// seconds, and a single connection attempt then shows whether the server is back.
+constexpr milliseconds unreachable_retry_time{2'500};
+/// Cost of a server that is still slow after its start, as a fraction of a full server.
 constexpr double cold_cost = 0.5;
-/// Servers within this of the best are equal; the choice among them is random, so that instances
-/// with the same view don't all choose the same one.
-constexpr double near_equal = 0.03;
+/// Servers whose cost is within this of the lowest count as equal. The choice among them is random,
+/// so that instances with the same view don't all choose the same server.
+constexpr double equal_cost_tolerance = 0.03;
 
 } // namespace
 
 double backend_picker::cost(const registered_backend& server, const backend_work& work,
                             const placement_request& request, time_point now) const {
-    double out = server.failure_domain == request.preferred_domain ? 0.0 : far_cost;
+    double out = server.failure_domain == request.preferred_domain ? 0.0 : remote_domain_cost;
     if (request.server_memory_tokens > 0) {
         out += static_cast<double>(work.memory_tokens) /
                static_cast<double>(request.server_memory_tokens);
-        out += static_cast<double>(work.unread_tokens) / unread_tokens_like_full;
+        out += static_cast<double>(work.unread_tokens) / unread_tokens_per_full_server;
     } else {
         out += static_cast<double>(work.requests) / std::max(1, server.slots);
     }
-    if (const auto found = failing_.find(server.id); found != failing_.end()) {
-        out += failing_cost * found->second;
+    if (const auto found = failure_rates_.find(server.id); found != failure_rates_.end()) {
+        out += failure_rate_cost * found->second;
     }
     return out + (now < server.slow_until ? cold_cost : 0.0);
 }
@@ -44,32 +46,35 @@
 const registered_backend* backend_picker::pick(std::span<const registered_backend* const> servers,
                                                load_table& loads, const placement_request& request,
                                                time_point now) {
-    struct rated {
+    struct candidate {
         const registered_backend* server;
         double cost;
     };
-    std::vector<rated> order;
+    std::vector<candidate> candidates;
     double best = std::numeric_limits<double>::max();
-    const auto rate = [&](bool ejected_too) {
+    const auto collect_candidates = [&](bool include_excluded) {
         for (const registered_backend* server : servers) {
             const bool avoided = std::find(request.avoid.begin(), request.avoid.end(),
                                            server->id) != request.avoid.end();
-            if (avoided || (!ejected_too && is_excluded(server->id, now))) {
+            if (avoided || (!include_excluded && is_excluded(server->id, now))) {
                 continue;
             }
-            order.push_back({server, cost(*server, loads.total(server->id, now), request, now)});
-            best = std::min(best, order.back().cost);
+            candidates.push_back(
+                {server, cost(*server, loads.total(server->id, now), request, now)});
+            best = std::min(best, candidates.back().cost);
         }
     };
-    rate(false);
-    if (order.empty()) {
-        rate(true);
+    collect_candidates(false);
+    if (candidates.empty()) {
+        collect_candidates(true);
     }
-    std::erase_if(order, [best](const rated& r) { return r.cost > best + near_equal; });
-    if (order.empty()) {
+    std::erase_if(candidates,
+                  [best](const candidate& r) { return r.cost > best + equal_cost_tolerance; });
+    if (candidates.empty()) {
         return nullptr;
     }
-    return order[std::uniform_int_distribution<std::size_t>(0, order.size() - 1)(random_)].server;
+    return candidates[std::uniform_int_distribution<std::size_t>(0, candidates.size() - 1)(random_)]
+        .server;
 }
 
 bool backend_picker::is_excluded(const backend_id& id, time_point now) const {
@@ -80,13 +85,13 @@
 
 void backend_picker::forget(const backend_id& id) {
     unreachable_until_.erase(id);
-    failing_.erase(id);
+    failure_rates_.erase(id);
     outliers_.forget(id.text());
 }
 
 void backend_picker::on_unreachable(const backend_id& id, time_point now) {
     std::erase_if(unreachable_until_, [now](const auto& item) { return now >= item.second; });
-    unreachable_until_[id] = now + unreachable_for;
+    unreachable_until_[id] = now + unreachable_retry_time;
 }
 
 void backend_picker::note(const backend_id& id, int succeeded, int failed, std::size_t group_size,
@@ -101,15 +106,15 @@
 
 void backend_picker::on_success(const backend_id& id, time_point now) {
     outliers_.on_success(id.text(), now);
-    if (const auto found = failing_.find(id); found != failing_.end()) {
-        found->second *= 1.0 - failing_smoothing;
+    if (const auto found = failure_rates_.find(id); found != failure_rates_.end()) {
+        found->second *= 1.0 - failure_rate_smoothing;
     }
 }
 
 void backend_picker::on_failure(const backend_id& id, std::size_t group_size, time_point now) {
     outliers_.on_failure(id.text(), group_size, now);
-    double& share = failing_[id];
-    share += failing_smoothing * (1.0 - share);
+    double& share = failure_rates_[id];
+    share += failure_rate_smoothing * (1.0 - share);
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Routing/backend_picker.h
+++ b/bamboostream/src/Routing/backend_picker.h
@@ -14,45 +14,50 @@
 
 namespace bamboostream {
 
-/// What a request asks of the backend server that gets it.
+/// Requirements and preferences of a request for the choice of its backend server.
 struct placement_request {
-    /// Servers that it must not go to, for instance because it failed there.
+    /// Servers that must not be chosen, for instance because the request has failed there.
     std::span<const backend_id> avoid;
-    /// Tokens of cache memory of each server; zero for plain services.
+    /// KV cache capacity of each server in tokens; zero for plain services.
     std::int64_t server_memory_tokens = 0;
+    /// Failure domain whose servers are preferred when costs are nearly equal.
     failure_domain_id preferred_domain;
 };
 
-/// Chooses the backend server for a request by the work that is under way at each.
+/// Chooses the backend server for a request by the work in progress at each server.
 ///
-/// For plain calls that is the share of places taken. For generations it is the memory that will be
-/// held, which sets how long a step takes, and the prompts that wait to be read, which set how long
-/// the first event takes. It answers any load: with idle servers it spreads requests, and past
-/// saturation `check_admission` says first which servers may be chosen at all.
+/// For plain calls the cost of a server is the fraction of its slots in use. For generations it is
+/// the memory that will be held, which determines the time of a decoding step, plus the prompt
+/// tokens that wait for prefill, which determine the time to the first event. The choice itself
+/// refuses nothing: past saturation `check_admission` first decides which servers may be chosen at
+/// all.
+///
+/// Not thread-safe.
 class backend_picker {
 public:
     explicit backend_picker(std::uint64_t seed) : random_(seed) {}
 
-    /// Null when no server may get the request.
+    /// Returns one of `servers`, or null when no server may get the request.
     const registered_backend* pick(std::span<const registered_backend* const> servers,
                                    load_table& loads, const placement_request& request,
                                    time_point now);
-    /// No connection came about. The server is passed over for a while, unless nothing else is
-    /// left: while the store is away engines go without their entries, and several connections in a
-    /// row may fail.
+    /// Records that no connection to the server could be established. The server is excluded for a
+    /// while unless no other is left: during an outage of the store engines stop without their
+    /// entries being removed, and several connection attempts in a row may fail.
     void on_unreachable(const backend_id& id, time_point now);
-    /// What another instance has seen of a server. Failures that are told together count as one. An
-    /// instance that is cut off goes on telling of failures; successes of others in between and the
-    /// largest share that may be ejected limit what that does.
+    /// Records outcomes that another instance has observed at a server. Failures reported together
+    /// count as one. An instance that is cut off from a server keeps reporting failures; successes
+    /// reported by others and the limit on ejected servers bound the effect.
     void note(const backend_id& id, int succeeded, int failed, std::size_t group_size,
               time_point now);
-    /// Whether the server is left out for a while, unless nothing else is left.
+    /// Whether the server is excluded at present, as unreachable or as an outlier. `pick` chooses
+    /// an excluded server only when no other is left.
     bool is_excluded(const backend_id& id, time_point now) const;
     void on_success(const backend_id& id, time_point now);
-    /// `group_size` counts the servers of the same service.
+    /// `group_size` is the number of servers of the same service.
     void on_failure(const backend_id& id, std::size_t group_size, time_point now);
 
-    /// The server has started again: what was held against it concerns another process.
+    /// Discards the failures of a server that has restarted: they concern the previous process.
     void forget(const backend_id& id);
 
 private:
@@ -62,8 +67,8 @@
     std::mt19937_64 random_;
     outlier_detector outliers_;
     std::unordered_map<backend_id, time_point> unreachable_until_;
-    /// Share of recent failures, by server.
-    std::unordered_map<backend_id, double> failing_;
+    /// Exponentially smoothed failure rate of each server.
+    std::unordered_map<backend_id, double> failure_rates_;
 };
 
 } // namespace bamboostream
--- a/bamboostream/src/Routing/load_table.cpp
+++ b/bamboostream/src/Routing/load_table.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-backend_work negative(const backend_work& work) {
+backend_work negated(const backend_work& work) {
     return {-work.requests, -work.memory_tokens, -work.unread_tokens};
 }
 
-/// Adds to one server's entry and drops it when nothing is left.
+/// Adds `change` to the entry of one server and removes the entry when it becomes zero.
 void adjust(std::unordered_map<std::uint64_t, backend_work>& sums, std::uint64_t key,
             const backend_work& change) {
     const auto entry = sums.try_emplace(key).first;
@@ -22,7 +22,8 @@
     }
 }
 
-backend_work at(const std::unordered_map<std::uint64_t, backend_work>& sums, std::uint64_t key) {
+backend_work find_work(const std::unordered_map<std::uint64_t, backend_work>& sums,
+                       std::uint64_t key) {
     const auto found = sums.find(key);
     return found == sums.end() ? backend_work{} : found->second;
 }
@@ -41,57 +42,57 @@
 }
 
 void load_table::add(const backend_id& id, const backend_work& work) {
-    adjust(own_, backend_hash(id), work);
+    adjust(local_work_, backend_hash(id), work);
 }
 
 void load_table::subtract(const backend_id& id, const backend_work& work) {
-    adjust(own_, backend_hash(id), negative(work));
+    adjust(local_work_, backend_hash(id), negated(work));
 }
 
-void load_table::forget(told_list::iterator old) {
+void load_table::remove_report(peer_report_list::iterator old) {
     for (const backend_work_entry& entry : old->entries) {
-        adjust(sums_, entry.backend, negative(entry.work));
+        adjust(peer_totals_, entry.backend, negated(entry.work));
     }
-    by_peer_.erase(old->peer);
-    told_.erase(old);
+    report_by_peer_.erase(old->peer);
+    peer_reports_.erase(old);
 }
 
 void load_table::expire(time_point now) {
-    while (!told_.empty() && now - told_.front().at > peer_report_lifetime) {
-        forget(told_.begin());
+    while (!peer_reports_.empty() && now - peer_reports_.front().at > peer_report_lifetime) {
+        remove_report(peer_reports_.begin());
     }
 }
 
 void load_table::hear(const std::string& peer, std::span<const backend_work_entry> entries,
                       time_point now) {
     expire(now);
-    if (const auto known = by_peer_.find(peer); known != by_peer_.end()) {
-        forget(known->second);
+    if (const auto known = report_by_peer_.find(peer); known != report_by_peer_.end()) {
+        remove_report(known->second);
     }
     for (const backend_work_entry& entry : entries) {
-        adjust(sums_, entry.backend, entry.work);
+        adjust(peer_totals_, entry.backend, entry.work);
     }
-    told_.push_back({peer, now, {entries.begin(), entries.end()}});
-    by_peer_.emplace(peer, std::prev(told_.end()));
+    peer_reports_.push_back({peer, now, {entries.begin(), entries.end()}});
+    report_by_peer_.emplace(peer, std::prev(peer_reports_.end()));
 }
 
 void load_table::add_expected(const std::string& peer, const backend_work_entry& entry,
                               time_point now) {
     expire(now);
-    const auto [known, is_new] = by_peer_.try_emplace(peer);
+    const auto [known, is_new] = report_by_peer_.try_emplace(peer);
     if (is_new) {
-        told_.push_back({peer, now, {}});
-        known->second = std::prev(told_.end());
+        peer_reports_.push_back({peer, now, {}});
+        known->second = std::prev(peer_reports_.end());
     }
     known->second->entries.push_back(entry);
-    adjust(sums_, entry.backend, entry.work);
+    adjust(peer_totals_, entry.backend, entry.work);
 }
 
 backend_work load_table::total(const backend_id& id, time_point now) {
     expire(now);
     const std::uint64_t key = backend_hash(id);
-    backend_work sum = at(own_, key);
-    sum += at(sums_, key);
+    backend_work sum = find_work(local_work_, key);
+    sum += find_work(peer_totals_, key);
     return sum;
 }
 
@@ -99,7 +100,7 @@
     expire(now);
     const std::uint64_t key = backend_hash(id);
     std::vector<std::string> out;
-    for (const heard& from : told_) {
+    for (const peer_report& from : peer_reports_) {
         if (std::any_of(from.entries.begin(), from.entries.end(),
                         [key](const backend_work_entry& e) { return e.backend == key; })) {
             out.push_back(from.peer);
@@ -110,7 +111,7 @@
 
 std::vector<backend_work_entry> load_table::own() const {
     std::vector<backend_work_entry> out;
-    for (const auto& [key, work] : own_) {
+    for (const auto& [key, work] : local_work_) {
         out.push_back({key, work});
     }
     return out;
--- a/bamboostream/src/Routing/memory_forecast.cpp
+++ b/bamboostream/src/Routing/memory_forecast.cpp
@@ -6,14 +6,14 @@
 namespace bamboostream {
 
 namespace {
-/// Memory is given out in blocks; on average half of the last one is empty.
-constexpr double half_a_block = 8.0;
+/// Memory is allocated in blocks of 16 tokens; on average half of the last block is unused.
+constexpr double half_block = 8.0;
 } // namespace
 
 memory_demand::memory_demand(double held,
                              const std::array<double, forecast_horizon.size()>& survival) {
     for (std::size_t i = 0; i < forecast_horizon.size(); ++i) {
-        const double size = held + forecast_horizon[i] + half_a_block;
+        const double size = held + forecast_horizon[i] + half_block;
         mean_[i] = size * survival[i];
         variance_[i] = size * size * survival[i] * (1.0 - survival[i]);
     }
@@ -24,8 +24,8 @@
     for (std::size_t i = 0; i < forecast_horizon.size(); ++i) {
         const bool last = i + 1 == forecast_horizon.size();
         const double until = last ? remaining : std::min(remaining, forecast_horizon[i + 1]);
-        // The most it holds before the next moment ahead.
-        out.mean_[i] = remaining > forecast_horizon[i] ? held + until + half_a_block : 0.0;
+        // The maximum that it holds before the next point of the horizon.
+        out.mean_[i] = remaining > forecast_horizon[i] ? held + until + half_block : 0.0;
     }
     return out;
 }
--- a/bamboostream/src/Routing/objective.h
+++ b/bamboostream/src/Routing/objective.h
@@ -6,35 +6,38 @@
 
 namespace bamboostream {
 
-/// What a pool's users weigh most; chosen per pool in the configuration.
+/// Scheduling objective of a pool, chosen in the configuration.
 enum class objective : std::uint8_t {
-    /// The registry's: streams must not go silent.
+    /// Minimize pauses within streams.
     stall_time,
-    /// The consortium's: tokens must flow evenly for everyone.
+    /// Minimize tail latency of tokens over all callers.
     tail_latency,
 };
 
-/// The figures by which a pool's scheduler keeps to its objective. A table of plain numbers, so
-/// that a new objective is a new row and not a new branch.
+/// Parameters of a pool's scheduler for an objective. They are a table of numbers, so that a new
+/// objective needs a new row and no new branch.
 struct objective_rules {
     std::string_view name;
-    /// Standard deviations that a predicted peak is taken above its mean. The figures are the knee
-    /// of the curve of throughput over preemptions, see docs/design/unknown-lengths.md.
+    /// Safety margin: standard deviations added to the mean of a predicted peak. The values are at
+    /// the knee of the curve of throughput over preemptions, see docs/design/unknown-lengths.md.
     double margin_sigmas = 1.8;
-    /// Most of it: preemptions beyond the expected few raise it, quiet lowers it again.
+    /// Upper limit of the margin: preemptions beyond the expected few raise it, and it decays
+    /// again.
     double max_margin_sigmas = 4.0;
-    /// Prompt tokens that may be on their way to one engine without a first token yet. Prefill
-    /// shares steps with decoding, so a pile of prompts is a gap in every stream of that engine.
+    /// Limit on the prompt tokens sent to one engine that have not produced a first token yet.
+    /// Prefill shares steps with decoding, so many prompts at once pause every stream of that
+    /// engine.
     std::uint32_t prefill_in_flight = 8192;
-    /// Whether the shortest expected output of a workspace goes first (with ageing).
+    /// Whether the request of a workspace with the shortest expected output is served first, with
+    /// ageing.
     bool shortest_first = false;
-    /// How much a cached prefix token is worth against a predicted memory token.
-    double prefix_worth = 0.5;
+    /// Value of a cached prefix token relative to a token of predicted memory.
+    double prefix_weight = 0.5;
 };
 
 const objective_rules& rules_of(objective which);
 
-/// The objective named "stall_time" or "tail_latency".
+/// The objective named "stall_time" or "tail_latency"; empty for any other name.
 std::optional<objective> parse_objective(std::string_view name);
 
 } // namespace bamboostream
--- a/bamboostream/src/Routing/outcome_collector.h
+++ b/bamboostream/src/Routing/outcome_collector.h
@@ -9,25 +9,27 @@
 
 namespace bamboostream {
 
-/// How requests at one backend server ended, and what it read until their first events.
+/// Outcomes of requests at one backend server, and the prefill until their first events.
 struct backend_outcomes {
-    /// By `backend_hash`.
+    /// The `backend_hash` of the server.
     std::uint64_t backend = 0;
     std::uint16_t succeeded = 0;
     std::uint16_t failed = 0;
+    /// Prompt tokens processed, and the time that this took.
     std::uint32_t prefill_tokens = 0;
     std::uint32_t prefill_ms = 0;
     bool operator==(const backend_outcomes&) const = default;
 };
 
-/// What this instance has seen of engines since it last told those that choose for it. An engine
-/// that fails at once looks idle, and one that chooses for all sends few requests itself: without
-/// being told it gave such engines the most.
+/// Collects what this instance observes at engines until it is reported to the owners, which choose
+/// engines for all instances. An engine that fails at once looks idle, and an owner sends few
+/// requests itself: without these reports, owners sent such engines the most requests. Not
+/// thread-safe.
 class outcome_collector {
 public:
     void note(const backend_id& id, bool succeeded);
     void record_prefill(const backend_id& id, const prefill_sample& sample);
-    /// Everything since the last call.
+    /// Returns the outcomes since the last call.
     std::vector<backend_outcomes> take();
 
 private:
--- a/bamboostream/src/Routing/prefill_rates.cpp
+++ b/bamboostream/src/Routing/prefill_rates.cpp
@@ -6,19 +6,21 @@
 
 namespace {
 
-/// Until anything has been seen, as much as some prompts that were read at this rate.
-constexpr double assumed_tokens_a_ms = 7.0;
+/// Prior rate and its weight: that of some prompts processed at this rate.
+constexpr double assumed_tokens_per_ms = 7.0;
 constexpr double assumed_tokens = 20'000.0;
-/// An engine's own samples count as much as its service's average once it has read this.
-constexpr double tokens_to_know_an_engine = 20'000.0;
-/// What is older than so many tokens has half of its weight, so that a change shows.
-constexpr double service_memory_tokens = 1'000'000.0;
-constexpr double engine_memory_tokens = 60'000.0;
-/// Shorter reads tell more of a step's time than of reading.
-constexpr double least_tokens = 500.0;
-
-void add(prefill_sample& sum, const prefill_sample& sample, double memory_tokens) {
-    const double kept = std::max(0.0, 1.0 - sample.tokens / memory_tokens);
+/// An engine's own samples have the same weight as the average of its service once it has processed
+/// this many tokens.
+constexpr double engine_prior_tokens = 20'000.0;
+/// Samples decay exponentially with the tokens processed since, on this scale, so that the rates
+/// follow changes.
+constexpr double service_retention_tokens = 1'000'000.0;
+constexpr double engine_retention_tokens = 60'000.0;
+/// Samples of fewer tokens are ignored: the time of a decoding step dominates them.
+constexpr double min_sample_tokens = 500.0;
+
+void add(prefill_sample& sum, const prefill_sample& sample, double retention_tokens) {
+    const double kept = std::max(0.0, 1.0 - sample.tokens / retention_tokens);
     sum.tokens = sum.tokens * kept + sample.tokens;
     sum.ms = sum.ms * kept + sample.ms;
 }
@@ -26,7 +28,7 @@
 } // namespace
 
 prefill_sample prefill_rates::average(const service_id& service) const {
-    prefill_sample out{assumed_tokens, assumed_tokens / assumed_tokens_a_ms};
+    prefill_sample out{assumed_tokens, assumed_tokens / assumed_tokens_per_ms};
     if (const auto found = services_.find(service); found != services_.end()) {
         out.tokens += found->second.tokens;
         out.ms += found->second.ms;
@@ -36,11 +38,11 @@
 
 void prefill_rates::note(const service_id& service, std::uint64_t engine,
                          const prefill_sample& sample) {
-    if (sample.tokens < least_tokens || sample.ms <= 0.0) {
+    if (sample.tokens < min_sample_tokens || sample.ms <= 0.0) {
         return;
     }
-    add(services_[service], sample, service_memory_tokens);
-    add(engines_[engine], sample, engine_memory_tokens);
+    add(services_[service], sample, service_retention_tokens);
+    add(engines_[engine], sample, engine_retention_tokens);
 }
 
 double prefill_rates::tokens_per_ms(const service_id& service, std::uint64_t engine) const {
@@ -51,7 +53,7 @@
         return common;
     }
     const prefill_sample& own = found->second;
-    return (own.tokens + tokens_to_know_an_engine) / (own.ms + tokens_to_know_an_engine / common);
+    return (own.tokens + engine_prior_tokens) / (own.ms + engine_prior_tokens / common);
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Routing/prefill_rates.h
+++ b/bamboostream/src/Routing/prefill_rates.h
@@ -8,25 +8,25 @@
 
 namespace bamboostream {
 
-/// What an engine has read, and the time that this took.
+/// Prompt tokens that an engine has processed, and the time that this took.
 struct prefill_sample {
     double tokens = 0.0;
     double ms = 0.0;
 };
 
-/// How many prompt tokens the engines of a service read in a millisecond, learned from the time to
-/// the first events of generations. It differs between engines by their kind and the load that they
-/// bear beside, and nobody states it.
+/// Estimates the prefill rate of engines, in prompt tokens a millisecond, from the time to the
+/// first event of generations. The rate depends on the hardware and on the concurrent load, and
+/// engines don't report it.
 ///
-/// An engine of which little is known yet counts as its service's average does.
+/// An engine with few samples is estimated by the average of its service. Not thread-safe.
 class prefill_rates {
 public:
-    /// A generation's first event came `sample.ms` after it was sent to an engine, which had
-    /// `sample.tokens` to read by then, those of its own prompt among them. `engine` by
-    /// `backend_hash`.
+    /// Records that a generation's first event came `sample.ms` after it was sent to an engine that
+    /// had `sample.tokens` prompt tokens to process by then, including those of this generation.
+    /// `engine` is its `backend_hash`.
     void note(const service_id& service, std::uint64_t engine, const prefill_sample& sample);
     double tokens_per_ms(const service_id& service, std::uint64_t engine) const;
-    /// The engine is gone or has started again.
+    /// Discards the samples of an engine that is gone or has restarted.
     void forget(std::uint64_t engine) { engines_.erase(engine); }
 
 private:
--- a/bamboostream/src/Routing/route_table.h
+++ b/bamboostream/src/Routing/route_table.h
@@ -12,7 +12,7 @@
 namespace bamboostream {
 
 namespace internal {
-/// Lets maps with string keys be searched by views.
+/// Hash for maps with string keys that are searched by `string_view`.
 struct text_hash {
     using is_transparent = void;
     std::size_t operator()(std::string_view text) const {
@@ -23,8 +23,9 @@
 using text_map = std::unordered_map<std::string, Value, text_hash, std::equal_to<>>;
 } // namespace internal
 
-/// One version of the configuration, indexed for the lookups that every request needs. Immutable;
-/// a lookup costs one hash a slash of the path, however many routes there are.
+/// One version of the configuration, indexed for the lookups of every request. Immutable, so
+/// threads may share it. The lookup of a route computes one hash for each slash of the path,
+/// independent of the number of routes.
 ///
 /// Example: `const route_rule* r = table.find_route(host, path);`
 class route_table {
@@ -46,7 +47,7 @@
     internal::text_map<const service_rule*> services_;
 };
 
-/// A service of the route, drawn by weight; null when the route names none.
+/// Chooses a service of the route at random by weight; null when the route has none with a weight.
 const service_id* pick_weighted_service(const route_rule& route, std::mt19937_64& random);
 
 } // namespace bamboostream
--- a/bamboostream/src/Routing/service_picker.h
+++ b/bamboostream/src/Routing/service_picker.h
@@ -11,8 +11,9 @@
 
 namespace bamboostream {
 
-/// Chooses a replica of a plain service: of two random ones that are live and not ejected, the one
-/// with fewer calls of this instance in progress; the caller's failure domain breaks ties.
+/// Chooses a replica of a plain service by the power of two choices: of two random replicas that
+/// are live and not ejected, the one with fewer calls of this instance in progress. The caller's
+/// failure domain breaks ties. Not thread-safe.
 class service_picker {
 public:
     explicit service_picker(std::uint64_t seed) : random_(seed) {}
--- a/bamboostream/src/Routing/window_budget.cpp
+++ b/bamboostream/src/Routing/window_budget.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Part of the whole budget that is spent at most: the count of live instances lags by seconds when
-/// instances join, and each then believes in a larger share than it has.
-constexpr double spent_part = 0.6;
+/// Fraction of the budget that is used at most: when instances join, the count of live instances
+/// lags by seconds, and each instance overestimates its share.
+constexpr double usable_fraction = 0.6;
 
 void drop_older(std::deque<time_point>& times, time_point than) {
     while (!times.empty() && times.front() < than) {
@@ -34,7 +34,7 @@
     expire(a, now);
     const double share = rules_.slack / static_cast<double>(std::max<std::size_t>(instances, 1));
     const double allowed =
-        spent_part * (rules_.ratio * static_cast<double>(a.requests.size()) + share);
+        usable_fraction * (rules_.ratio * static_cast<double>(a.requests.size()) + share);
     if (static_cast<double>(a.spent.size()) + 1.0 > allowed) {
         return false;
     }
--- a/bamboostream/src/Routing/window_budget.h
+++ b/bamboostream/src/Routing/window_budget.h
@@ -9,34 +9,34 @@
 
 namespace bamboostream {
 
-/// How many further sends a service bears in a sliding window, over all instances together.
+/// Limit on the retries of a service in a sliding window, over all instances together.
 struct window_budget_rules {
-    /// Further sends allowed for each request.
+    /// Retries allowed for each request.
     double ratio = 0.1;
-    /// Further sends allowed besides.
+    /// Retries allowed in addition.
     double slack = 10.0;
     milliseconds window{10'000};
 };
 
-/// The share of one instance in a retry budget that all instances have together.
+/// This instance's share of a retry budget that all instances have in common.
 ///
-/// When backend servers fail, every instance wants to send again at the same time, and the sends of
-/// all of them reach the same few servers. An instance knows neither the others' requests nor their
-/// further sends, so it spends the ratio of its own requests and its part of the slack, less a
-/// margin for instances that have just come or gone.
+/// When backend servers fail, all instances retry at the same time, and their retries reach the
+/// same few servers. An instance knows neither the requests nor the retries of the others, so it
+/// may use the ratio of its own requests plus its share of the slack, less a margin for instances
+/// that have just joined or left. Not thread-safe.
 ///
-/// Example: `budget.on_request(s, now); … if (budget.try_spend(s, live, now)) send_again();`
+/// Example: `budget.on_request(s, now); … if (budget.try_spend(s, live, now)) retry();`
 class window_budget {
 public:
     explicit window_budget(window_budget_rules rules) : rules_(rules) {}
 
-    /// New rules count from the next decision on; what was spent stays spent.
+    /// Applies new rules from the next decision on; retries already spent still count.
     void set_rules(window_budget_rules rules) { rules_ = rules; }
     void on_request(const service_id& service, time_point now);
-    /// Takes one further send out of the budget; false when it is used up. `instances` counts the
-    /// live ones, this one included.
+    /// Takes one retry from the budget; false when it is used up. `instances` is the number of live
+    /// instances, this one included.
     bool try_spend(const service_id& service, std::size_t instances, time_point now);
-    /// Counts a further send that must be made whatever the budget says.
+    /// Counts a retry that is made regardless of the budget.
     void spend(const service_id& service, time_point now);
 
 private:
--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -464,7 +464,7 @@
         const double before = heap_bytes();
         length_estimator book;
         for (int i = 0; i < subjects; ++i) {
-            book.finished(book.key({fmt::format("w{}", i), "m", "k"}), 100);
+            book.record_end(book.key({fmt::format("w{}", i), "m", "k"}), 100);
         }
         out.sizes.push_back(subjects);
         out.values.push_back(heap_bytes() - before);
--- a/docs/examples/hold_back.cpp
+++ b/docs/examples/hold_back.cpp
@@ -1,4 +1,5 @@
-// How much of a crowd an engine takes before its memory is predicted to overflow.
+// Submits 100 requests and prints how many are scheduled before the predicted memory of the engine
+// is full.
 
 #include "bamboostream/Limits"
 
--- a/test/lengths_test.cpp
+++ b/test/lengths_test.cpp
@@ -21,15 +21,15 @@
 
 class coverage_test : public testing::TestWithParam<length_shape> {};
 
-// Quantiles must hold what they promise for fresh outputs, from the start and on the way.
+// Estimated quantiles must have the nominal coverage on new outputs, from the start and midway.
 TEST_P(coverage_test, quantiles_cover_fresh_outputs) {
     std::mt19937_64 random(5);
-    length_estimator book;
-    const length_key key = book.key({"w", "m", "k"});
+    length_estimator estimator;
+    const length_key key = estimator.key({"w", "m", "k"});
     for (int i = 0; i < 1500; ++i) {
         const std::uint32_t tokens = draw(GetParam(), random);
-        book.progressed(key, 0, tokens);
-        book.finished(key, tokens);
+        estimator.record_progress(key, 0, tokens);
+        estimator.record_end(key, tokens);
     }
     for (const double q : {0.5, 0.9, 0.99}) {
         int covered = 0;
@@ -39,10 +39,11 @@
         const auto reached = static_cast<std::uint32_t>(GetParam().median);
         for (int i = 0; i < samples; ++i) {
             const std::uint32_t tokens = draw(GetParam(), random);
-            covered += tokens <= book.remaining(key, 0, q) ? 1 : 0;
+            covered += tokens <= estimator.remaining_quantile(key, 0, q) ? 1 : 0;
             if (tokens > reached) {
                 ++midway;
-                covered_midway += tokens <= reached + book.remaining(key, reached, q) ? 1 : 0;
+                covered_midway +=
+                    tokens <= reached + estimator.remaining_quantile(key, reached, q) ? 1 : 0;
             }
         }
         EXPECT_NEAR(covered / static_cast<double>(samples), q, 0.06) << q;
@@ -56,44 +57,44 @@
                                          length_shape{"draft", 160.0, 0.9}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// While short outputs have ended and long ones still run, the estimate must not fall for the short
-// ones: running outputs count as far as they have come.
-TEST(life_table_test, running_outputs_are_not_forgotten) {
-    length_estimator book;
-    const length_key key = book.key({"w", "m", "k"});
+// While short outputs have ended and long ones still run, the estimate must not be biased toward
+// the short ones: running outputs count as censored observations.
+TEST(life_table_test, running_outputs_count_as_censored) {
+    length_estimator estimator;
+    const length_key key = estimator.key({"w", "m", "k"});
     for (int i = 0; i < 100; ++i) {
-        book.progressed(key, 0, 20);
-        book.finished(key, 20);
-        book.progressed(key, 0, 900);
+        estimator.record_progress(key, 0, 20);
+        estimator.record_end(key, 20);
+        estimator.record_progress(key, 0, 900);
     }
-    EXPECT_GT(book.remaining(key, 0, 0.75), 800.0);
-    EXPECT_LT(book.remaining(key, 0, 0.25), 40.0);
+    EXPECT_GT(estimator.remaining_quantile(key, 0, 0.75), 800.0);
+    EXPECT_LT(estimator.remaining_quantile(key, 0, 0.25), 40.0);
 }
 
-TEST(life_table_test, a_new_workspace_leans_on_its_kind) {
-    length_estimator book;
-    const length_key old_key = book.key({"w1", "m", "label"});
+TEST(life_table_test, new_workspace_falls_back_on_its_kind) {
+    length_estimator estimator;
+    const length_key old_key = estimator.key({"w1", "m", "label"});
     for (int i = 0; i < 200; ++i) {
-        book.progressed(old_key, 0, 12);
-        book.finished(old_key, 12);
+        estimator.record_progress(old_key, 0, 12);
+        estimator.record_end(old_key, 12);
     }
-    const length_key new_key = book.key({"w2", "m", "label"});
-    EXPECT_LT(book.expected(new_key), 40.0);
+    const length_key new_key = estimator.key({"w2", "m", "label"});
+    EXPECT_LT(estimator.expected_length(new_key), 40.0);
 }
 
-TEST(life_table_test, a_sudden_change_is_followed) {
+TEST(life_table_test, adapts_to_a_sudden_change) {
     std::mt19937_64 random(3);
-    length_estimator book;
-    const length_key key = book.key({"w", "m", "k"});
+    length_estimator estimator;
+    const length_key key = estimator.key({"w", "m", "k"});
     for (int i = 0; i < 1000; ++i) {
-        book.progressed(key, 0, 50);
-        book.finished(key, 50);
+        estimator.record_progress(key, 0, 50);
+        estimator.record_end(key, 50);
     }
     for (int i = 0; i < 400; ++i) {
-        book.progressed(key, 0, 500);
-        book.finished(key, 500);
+        estimator.record_progress(key, 0, 500);
+        estimator.record_end(key, 500);
     }
-    EXPECT_GT(book.remaining(key, 0, 0.5), 250.0);
+    EXPECT_GT(estimator.remaining_quantile(key, 0, 0.5), 250.0);
 }
 
 } // namespace
--- a/test/limits_test.cpp
+++ b/test/limits_test.cpp
@@ -9,9 +9,9 @@
 
 const time_point start{seconds(100)};
 
-queued_work make_work(std::uint64_t id, const std::string& workspace, double expected = 100.0,
-                      priority_level priority = priority_level::standard) {
-    queued_work work;
+queued_request make_work(std::uint64_t id, const std::string& workspace, double expected = 100.0,
+                         priority_level priority = priority_level::standard) {
+    queued_request work;
     work.id = id;
     work.workspace = workspace;
     work.expected_tokens = expected;
@@ -23,7 +23,7 @@
 
 std::string next_workspace(const fair_queue& queue) {
     std::vector<std::string_view> order;
-    queue.order(order, 1);
+    queue.next_workspaces(order, 1);
     return order.empty() ? std::string{} : std::string(order.front());
 }
 
@@ -54,7 +54,7 @@
             queue.push(make_work(id++, "b"));
         }
         const std::string next = next_workspace(queue);
-        queued_work work;
+        queued_request work;
         ASSERT_TRUE(queue.take(queue.head(next, false, start)->id, work));
         const double tokens = next == "a" ? c.length_a : c.length_b;
         queue.charge(next, tokens);
@@ -69,13 +69,13 @@
                                          share_case{"weighted", 4, 1, 300, 50}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// A workspace that was idle for long gets no stored-up credit when it comes.
+// A workspace that was idle for a long time has accumulated no credit.
 TEST(fair_queue_test, idle_workspace_has_no_credit) {
     fair_queue queue;
     std::uint64_t id = 1;
     for (int i = 0; i < 100; ++i) {
         queue.push(make_work(id++, "busy"));
-        queued_work work;
+        queued_request work;
         queue.take(queue.head("busy", false, start)->id, work);
         queue.charge("busy", 1000);
     }
@@ -86,7 +86,7 @@
     }
     for (int i = 0; i < 100; ++i) {
         const std::string next = next_workspace(queue);
-        queued_work work;
+        queued_request work;
         queue.take(queue.head(next, false, start)->id, work);
         queue.charge(next, 1000);
         ++served[next];
@@ -103,7 +103,7 @@
     }
     int urgent = 0;
     for (int i = 0; i < 100; ++i) {
-        queued_work work;
+        queued_request work;
         queue.take(queue.head("a", false, start)->id, work);
         urgent += work.priority == priority_level::urgent ? 1 : 0;
     }
@@ -113,29 +113,30 @@
 
 TEST(fair_queue_test, shortest_first_ages) {
     fair_queue queue;
-    queued_work old = make_work(1, "a", 500);
+    queued_request old = make_work(1, "a", 500);
     queue.push(old);
-    queued_work fresh = make_work(2, "a", 10);
+    queued_request fresh = make_work(2, "a", 10);
     fresh.arrived = start + seconds(60);
     queue.push(fresh);
     EXPECT_EQ(queue.head("a", true, start + seconds(60))->id, 1U);
-    queued_work soon = make_work(3, "a", 10);
+    queued_request soon = make_work(3, "a", 10);
     soon.arrived = start;
     queue.push(soon);
     EXPECT_EQ(queue.head("a", true, start + seconds(1))->id, 3U);
 }
 
-// Refused callers are told to come back one after the other; who comes at its time is let in once.
-TEST(return_schedule_test, promises_are_spread_and_kept) {
-    return_schedule returns;
+// Refused callers get evenly spaced retry times; a caller that returns at its time is admitted
+// once.
+TEST(retry_schedule_test, reservations_are_spaced_and_redeemed_once) {
+    retry_schedule returns;
     std::vector<milliseconds> times;
     for (std::uint64_t id = 1; id <= 10; ++id) {
-        times.push_back(returns.promise(id, "a", seconds(1), milliseconds(200), 100, start));
+        times.push_back(returns.reserve(id, "a", seconds(1), milliseconds(200), 100, start));
     }
     for (std::size_t i = 1; i < times.size(); ++i) {
         EXPECT_EQ(times[i] - times[i - 1], milliseconds(200));
     }
-    EXPECT_EQ(returns.promise(3, "a", seconds(1), milliseconds(200), 100, start), times[2]);
+    EXPECT_EQ(returns.reserve(3, "a", seconds(1), milliseconds(200), 100, start), times[2]);
     EXPECT_FALSE(returns.redeem(5, start + times[4] / 2));
     EXPECT_TRUE(returns.redeem(5, start + times[4]));
     EXPECT_FALSE(returns.redeem(5, start + times[4]));
@@ -149,7 +150,7 @@
             scheduler_.add_engine(backend_id(id), failure_domain_id("d"));
             engine_report report;
             report.capacity_tokens = 4'000;
-            // Memory and not the batch must be what holds back.
+            // The batch must not be the limiting resource: this tests the memory limit.
             report.max_running = 64;
             scheduler_.on_report(id, report, start);
         }
@@ -171,12 +172,12 @@
     }
     const auto decisions = scheduler_.dispatch(start);
     EXPECT_GT(decisions.size(), 2U);
-    // Fewer than would fit by their prompts alone: outputs are left room for.
+    // Fewer than would fit by their prompts alone: memory is reserved for the outputs.
     EXPECT_LT(decisions.size(), 38U);
     EXPECT_EQ(scheduler_.waiting() + decisions.size(), 60U);
 }
 
-TEST_F(pool_scheduler_test, a_repeated_question_gets_the_same_grant) {
+TEST_F(pool_scheduler_test, repeated_request_gets_the_same_grant) {
     scheduler_.submit(request(1), start);
     const auto decisions = scheduler_.dispatch(start);
     ASSERT_EQ(decisions.size(), 1U);
@@ -196,8 +197,8 @@
     }
 }
 
-// A request given up on gets its answer at once with a time to come back, not at its deadline.
-TEST_F(pool_scheduler_test, no_engine_is_refused_soon_with_a_time) {
+// A request that can't be served is refused early with a time to retry, not at its deadline.
+TEST_F(pool_scheduler_test, refuses_with_a_retry_time_when_no_engine_is_usable) {
     scheduler_.set_engine_usable("e1", false);
     scheduler_.set_engine_usable("e2", false);
     scheduler_.submit(request(1), start);
@@ -208,7 +209,7 @@
     EXPECT_GT(decisions[0].retry_after.count(), 0);
 }
 
-TEST_F(pool_scheduler_test, limits_of_a_workspace_hold) {
+TEST_F(pool_scheduler_test, enforces_workspace_limits) {
     scheduler_.set_workspace("a", {1.0, 2, 5});
     int refused = 0;
     for (std::uint64_t id = 1; id <= 8; ++id) {
@@ -219,7 +220,7 @@
     EXPECT_EQ(scheduler_.dispatch(start).size(), 2U);
 }
 
-// A new owner of the pool learns what runs from the instances that stream it.
+// A new owner of the pool learns of the running generations from the instances that stream them.
 TEST_F(pool_scheduler_test, unknown_running_generations_are_taken_over) {
     for (std::uint64_t id = 1; id <= 30; ++id) {
         scheduler_.on_progress({id, "a", id % 2 == 0 ? "e1" : "e2", "", 200, 50}, start);
@@ -233,8 +234,8 @@
     EXPECT_EQ(scheduler_.dispatch(start + milliseconds(60)).size(), 1U);
 }
 
-// An instance that died leaves its grants behind; they are forgotten after some seconds of silence.
-TEST_F(pool_scheduler_test, silent_grants_are_forgotten) {
+// The grants of an instance that has crashed are removed after some seconds without progress.
+TEST_F(pool_scheduler_test, silent_grants_expire) {
     scheduler_.submit(request(1), start);
     ASSERT_EQ(scheduler_.dispatch(start).size(), 1U);
     scheduler_.dispatch(start + seconds(4));
--- a/test/platform/admission_load_test.cpp
+++ b/test/platform/admission_load_test.cpp
@@ -1,5 +1,5 @@
-// Plays crowds of growing size at modelled engines against the decisions of admission and the time
-// that refused callers are told, without a network.
+// Simulates increasing load on modelled engines to test admission and the retry delays of refused
+// callers, without a network.
 
 #include "bamboostream/Forwarding"
 #include "bamboostream/Limits"
@@ -22,7 +22,7 @@
 using standins::model_event;
 using standins::model_job;
 
-/// What callers of one kind ask, how often a second for each engine, and how long they wait.
+/// Requests of one kind: their rate per second and engine, their sizes, objective and timeout.
 struct caller_kind {
     double a_second;
     double prompt_tokens;
@@ -30,33 +30,33 @@
     double output_spread;
     int priority;
     milliseconds objective;
-    milliseconds patience;
+    milliseconds caller_timeout;
 };
 
 constexpr caller_kind long_kind{
     0.467, 3'000.0, 750.0, 0.8, 1, milliseconds(1'800), milliseconds(39'000)};
-constexpr caller_kind brief_kind{
+constexpr caller_kind short_kind{
     0.91, 2'400.0, 11.0, 0.8, 0, milliseconds(1'500), milliseconds(6'000)};
 constexpr std::int64_t memory_tokens = test::modelled_memory_tokens;
 constexpr int engine_count = 10;
-constexpr seconds played{40};
+constexpr seconds simulated_time{40};
 
-/// What became of one kind's callers.
+/// Results for the callers of one kind.
 struct outcome {
-    int asked = 0;
+    int arrived = 0;
     int on_time = 0;
     int late = 0;
     int refused = 0;
-    /// Refused once and served then.
-    int served_on_return = 0;
+    /// Refused once and served on their retry.
+    int served_on_retry = 0;
 };
 
-/// Engines in a crowd of `load` times the usual number of callers, which lasts for `crowd`. One
-/// instance chooses for all, and refused callers come back once, when they are told to.
-class crowded_pool {
+/// Simulates engines under `load` times the usual rate of requests for `overload_time`. One
+/// instance chooses engines for all, and refused callers retry once, after their retry delay.
+class overload_simulation {
 public:
-    crowded_pool(double load, std::uint64_t seed, seconds crowd = played)
-        : load_(load), crowd_(crowd), random_(seed),
+    overload_simulation(double load, std::uint64_t seed, seconds overload_time = simulated_time)
+        : load_(load), overload_time_(overload_time), random_(seed),
           state_(codec_, failure_domain_id("norra"), {}, seed) {
         for (int i = 0; i < engine_count; ++i) {
             const registered_backend engine = backend(fmt::format("i-{}", i));
@@ -65,19 +65,19 @@
         }
     }
 
-    void play() {
+    void run() {
         constexpr milliseconds tick{4};
-        while (now_ < start + played) {
+        while (now_ < start + simulated_time) {
             now_ += tick;
             arrive(long_kind, tick);
-            arrive(brief_kind, tick);
-            while (!returns_.empty() && returns_.begin()->first <= now_) {
-                const generation returned = returns_.begin()->second;
-                returns_.erase(returns_.begin());
-                place(returned);
+            arrive(short_kind, tick);
+            while (!retries_.empty() && retries_.begin()->first <= now_) {
+                const generation retry = retries_.begin()->second;
+                retries_.erase(retries_.begin());
+                place(retry);
             }
             for (auto& [id, model] : models_) {
-                model->advance(now_, [this](const model_event& e) { take(e); });
+                model->advance(now_, [this](const model_event& e) { handle_event(e); });
             }
         }
     }
@@ -91,23 +91,23 @@
         std::int64_t expected = 0;
         std::int64_t produced = 0;
         backend_id at;
-        backend_work entered;
-        time_point asked;
+        backend_work recorded_work;
+        time_point arrived;
         time_point sent;
         backend_work queued;
-        bool is_back = false;
-        bool begun = false;
+        bool is_retry = false;
+        bool first_event_seen = false;
     };
 
     void arrive(const caller_kind& kind, milliseconds tick) {
-        const double load = now_ < start + crowd_ ? load_ : 0.8;
+        const double load = now_ < start + overload_time_ ? load_ : 0.8;
         const double share = kind.a_second * engine_count * load * to_milliseconds(tick) / 1000.0;
         if (std::uniform_real_distribution<double>(0.0, 1.0)(random_) >= share) {
             return;
         }
         generation g;
         g.kind = &kind;
-        g.asked = now_;
+        g.arrived = now_;
         g.job.id = next_id_++;
         g.job.prompt_tokens = static_cast<std::uint32_t>(
             std::clamp(test::sample_log_normal(kind.prompt_tokens, 0.35, random_), 500.0, 6'000.0));
@@ -117,7 +117,7 @@
         const double estimate =
             g.job.output_tokens * std::exp(std::normal_distribution<>(0, 1.0)(random_));
         g.expected = std::clamp<std::int64_t>(static_cast<std::int64_t>(estimate), 1, 1'768);
-        ++results_[&kind].asked;
+        ++results_[&kind].arrived;
         place(g);
     }
 
@@ -134,22 +134,22 @@
             g.at = choice.engine->id;
             g.sent = now_;
             g.queued = choice.work;
-            enter(g, request.work);
+            record_work(g, request.work);
             models_.at(g.at)->submit(g.job, now_);
             running_.emplace(g.job.id, g);
-        } else if (g.is_back) {
+        } else if (g.is_retry) {
             ++results_[g.kind].refused;
         } else {
-            come_back(g, choice.overload);
+            schedule_retry(g, choice.overload);
         }
     }
 
-    void come_back(generation g, duration overload) {
+    void schedule_retry(generation g, duration overload) {
         const auto left =
-            std::chrono::duration_cast<milliseconds>(g.kind->patience - (now_ - g.asked));
+            std::chrono::duration_cast<milliseconds>(g.kind->caller_timeout - (now_ - g.arrived));
         const refused_request about{refusal_cause::overloaded, g.kind->objective, left, overload};
-        g.is_back = true;
-        returns_.emplace(now_ + choose_retry_delay(about, random_), g);
+        g.is_retry = true;
+        retries_.emplace(now_ + choose_retry_delay(about, random_), g);
     }
 
     void record_prefill(const generation& g, time_point first) {
@@ -161,63 +161,65 @@
         }
     }
 
-    void enter(generation& g, const backend_work& work) {
-        state_.loads.subtract(g.at, g.entered);
-        g.entered = work;
+    void record_work(generation& g, const backend_work& work) {
+        state_.loads.subtract(g.at, g.recorded_work);
+        g.recorded_work = work;
         state_.loads.add(g.at, work);
     }
 
-    void take(const model_event& e) {
+    void handle_event(const model_event& e) {
         const auto found = running_.find(e.id);
         generation& g = found->second;
         if (e.what == model_event::kind::finished) {
-            enter(g, {});
+            record_work(g, {});
             running_.erase(found);
             return;
         }
         if (e.what != model_event::kind::token) {
             return;
         }
-        if (!g.begun) {
-            g.begun = true;
+        if (!g.first_event_seen) {
+            g.first_event_seen = true;
             record_prefill(g, e.at);
             outcome& result = results_[g.kind];
-            ++(e.at - g.asked <= g.kind->objective ? result.on_time : result.late);
-            result.served_on_return += g.is_back ? 1 : 0;
+            ++(e.at - g.arrived <= g.kind->objective ? result.on_time : result.late);
+            result.served_on_retry += g.is_retry ? 1 : 0;
         }
         g.produced = e.sequence + 1;
         const std::int64_t left = std::max(g.expected - g.produced, g.produced / 2);
-        enter(g, {1, g.job.prompt_tokens + g.produced + left, 0});
+        record_work(g, {1, g.job.prompt_tokens + g.produced + left, 0});
     }
 
     double load_;
-    seconds crowd_;
+    seconds overload_time_;
     std::mt19937_64 random_;
     time_point now_ = start;
     const platform::request_translation codec_;
     forwarding_state state_;
     std::map<backend_id, std::unique_ptr<engine_model>> models_;
     std::map<std::uint64_t, generation> running_;
-    std::multimap<time_point, generation> returns_;
+    std::multimap<time_point, generation> retries_;
     std::map<const caller_kind*, outcome> results_;
     std::uint64_t next_id_ = 1;
 };
 
-/// What the answers in time of a play are worth to callers: a long one as much as seven briefs.
+/// Value of the responses in time over five simulations: a long one counts as much as 7.4 short
+/// ones.
 double goodput(double load) {
-    constexpr double worth_of_long = 7.4;
+    constexpr double value_of_long = 7.4;
     double sum = 0.0;
     for (const std::uint64_t seed : {1u, 2u, 3u, 4u, 5u}) {
-        crowded_pool pool(load, seed);
-        pool.play();
-        sum += worth_of_long * pool.of(long_kind).on_time + pool.of(brief_kind).on_time;
+        overload_simulation simulation(load, seed);
+        simulation.run();
+        sum += value_of_long * simulation.of(long_kind).on_time + simulation.of(short_kind).on_time;
     }
     return sum;
 }
 
 // Engines are first in, first out: past saturation each request that is admitted to a queue makes
-// those behind it late too, and three times the load once earned a third of what 1.3 times did.
-TEST(admission_load, goodput_does_not_fall_as_the_crowd_grows) {
+// those behind it late too. Without admission control, goodput at three times the load was a third
+// of that at 1.3 times.
+TEST(admission_load, goodput_does_not_fall_as_load_grows) {
     double greatest = 0.0;
     for (const double load : {1.0, 1.3, 1.7, 2.2, 3.0}) {
         const double now = goodput(load);
@@ -227,38 +229,38 @@
     }
 }
 
-// Nothing is turned away that can be served in time.
-TEST(admission_load, nobody_is_refused_at_a_bearable_load) {
-    crowded_pool pool(0.8, 7);
-    pool.play();
-    for (const caller_kind* kind : {&long_kind, &brief_kind}) {
-        const outcome& result = pool.of(*kind);
-        EXPECT_LE(result.refused + result.served_on_return, result.asked / 100);
-        EXPECT_LE(result.late, result.asked / 50);
+// Requests that can be served in time are not refused.
+TEST(admission_load, nothing_is_refused_below_saturation) {
+    overload_simulation simulation(0.8, 7);
+    simulation.run();
+    for (const caller_kind* kind : {&long_kind, &short_kind}) {
+        const outcome& result = simulation.of(*kind);
+        EXPECT_LE(result.refused + result.served_on_retry, result.arrived / 100);
+        EXPECT_LE(result.late, result.arrived / 50);
     }
 }
 
-// A crowd lasts for 20 s and callers wait 39 s. Told to come back within a second or two, nearly
-// all are refused for good in the same crowd.
-TEST(admission_load, callers_refused_in_a_lasting_crowd_are_served_on_their_return) {
+// An overload lasts for 20 s and callers wait 39 s. With retry delays of a second or two, nearly
+// all would be refused again during the same overload.
+TEST(admission_load, callers_refused_in_a_long_overload_are_served_on_retry) {
     outcome sum;
     for (const std::uint64_t seed : {1u, 2u, 3u}) {
-        crowded_pool pool(2.2, seed, seconds(20));
-        pool.play();
-        sum.refused += pool.of(long_kind).refused;
-        sum.served_on_return += pool.of(long_kind).served_on_return;
+        overload_simulation simulation(2.2, seed, seconds(20));
+        simulation.run();
+        sum.refused += simulation.of(long_kind).refused;
+        sum.served_on_retry += simulation.of(long_kind).served_on_retry;
     }
-    fmt::print("refused for good: {}, served on return: {}\n", sum.refused, sum.served_on_return);
-    EXPECT_GE(sum.served_on_return, sum.refused);
+    fmt::print("refused for good: {}, served on retry: {}\n", sum.refused, sum.served_on_retry);
+    EXPECT_GE(sum.served_on_retry, sum.refused);
 }
 
-// Memory binds the long ones and reading the briefs; neither kind pays for the other.
-TEST(admission_load, no_kind_starves_in_a_crowd) {
-    crowded_pool pool(2.2, 7);
-    pool.play();
-    for (const caller_kind* kind : {&long_kind, &brief_kind}) {
-        const outcome& result = pool.of(*kind);
-        EXPECT_GE(result.on_time, result.asked / 3);
+// Long requests are limited by memory and short ones by prefill; neither kind may starve the other.
+TEST(admission_load, no_kind_starves_under_overload) {
+    overload_simulation simulation(2.2, 7);
+    simulation.run();
+    for (const caller_kind* kind : {&long_kind, &short_kind}) {
+        const outcome& result = simulation.of(*kind);
+        EXPECT_GE(result.on_time, result.arrived / 3);
     }
 }
 
--- a/test/platform/admission_test.cpp
+++ b/test/platform/admission_test.cpp
@@ -1,5 +1,5 @@
-// Which generations are admitted to which engine, and how fast engines are believed to read,
-// without a network.
+// Tests the admission of generations to engines and the estimates of prefill rates, without a
+// network.
 
 #include "bamboostream/Forwarding"
 #include "bamboostream/Limits"
@@ -14,8 +14,8 @@
 
 // --- admission
 
-/// Work at an engine of 20,000 tokens, and what becomes of a prompt of 3,000 tokens that is
-/// expected to put out 1,000, with an objective of 1.5 s.
+/// Work in progress at an engine with 20,000 tokens of memory, and the expected result for a prompt
+/// of 3,000 tokens with an expected output of 1,000 tokens and an objective of 1.5 s.
 struct admission_row {
     std::string name;
     backend_work work;
@@ -45,14 +45,14 @@
         admission_row{"expected_late", {5, 9'000, 6'500}, 0, admission_result::prompts_queued}),
     [](const auto& info) { return info.param.name; });
 
-// What is sent where its first event comes late keeps the engine from serving others in time.
-TEST_P(admission, turns_away_what_would_be_late) {
+// A request sent to an engine where its first event comes late also delays the requests behind it.
+TEST_P(admission, refuses_requests_that_would_be_late) {
     EXPECT_EQ(check_admission({}, request(GetParam().priority), GetParam().work, tokens_per_ms),
               GetParam().verdict);
 }
 
-// A request that is larger than the limits allow beside others goes where nothing else runs: it
-// would be turned away for good otherwise.
+// A request that exceeds the limits beside others is admitted to an idle engine; otherwise it would
+// always be refused.
 TEST_F(admission, a_large_request_goes_to_an_empty_engine) {
     admission_request large = request(1);
     large.work = {1, 30'000, 15'000};
@@ -61,7 +61,8 @@
               admission_result::memory_full);
 }
 
-// The least loaded engine has no memory left for the request and another one has: it goes there.
+// The engine with the lowest cost has no memory left for the request, so an engine that admits it
+// is chosen.
 TEST(engine_choice_test, one_that_admits_goes_before_a_better_one_that_does_not) {
     const platform::request_translation codec;
     forwarding_state state(codec, failure_domain_id("norra"), {}, 1);
@@ -84,36 +85,36 @@
               admission_result::admit);
 }
 
-// --- reading rates
+// --- prefill rates
 
-/// Samples of two engines, and the rates that are believed then.
-struct reading_row {
+/// Samples of two engines, and the bounds of the estimated rates.
+struct prefill_row {
     std::string name;
     int samples_of_a;
     double rate_of_a;
     int samples_of_b;
     double rate_of_b;
-    double least_a;
-    double most_a;
-    double least_b;
-    double most_b;
+    double min_a;
+    double max_a;
+    double min_b;
+    double max_b;
 };
 
-class reading_rate : public testing::TestWithParam<reading_row> {};
+class prefill_rate : public testing::TestWithParam<prefill_row> {};
 
 INSTANTIATE_TEST_SUITE_P(
-    table, reading_rate,
-    testing::Values(reading_row{"nothing_known", 0, 0.0, 0, 0.0, 6.99, 7.01, 6.99, 7.01},
-                    reading_row{"one_sample", 1, 20.0, 0, 0.0, 7.1, 9.0, 7.1, 8.5},
-                    reading_row{"a_faster_kind", 100, 20.0, 100, 20.0, 19.0, 20.0, 19.0, 20.0},
-                    reading_row{"one_slow_engine", 40, 4.0, 400, 16.0, 3.9, 6.0, 13.0, 16.0},
-                    reading_row{"one_unknown_engine", 0, 0.0, 200, 16.0, 14.0, 16.0, 14.0, 16.0}),
+    table, prefill_rate,
+    testing::Values(prefill_row{"nothing_known", 0, 0.0, 0, 0.0, 6.99, 7.01, 6.99, 7.01},
+                    prefill_row{"one_sample", 1, 20.0, 0, 0.0, 7.1, 9.0, 7.1, 8.5},
+                    prefill_row{"a_faster_kind", 100, 20.0, 100, 20.0, 19.0, 20.0, 19.0, 20.0},
+                    prefill_row{"one_slow_engine", 40, 4.0, 400, 16.0, 3.9, 6.0, 13.0, 16.0},
+                    prefill_row{"one_unknown_engine", 0, 0.0, 200, 16.0, 14.0, 16.0, 14.0, 16.0}),
     [](const auto& info) { return info.param.name; });
 
-// Engines read at speeds that nobody states. With one assumed speed, slow ones are queued at until
-// everybody there is late, and fast ones stand idle while callers are refused.
-TEST_P(reading_rate, is_learned_by_engine_and_service) {
-    const reading_row& row = GetParam();
+// Engines don't report their prefill rates. With one assumed rate for all, requests queue at slow
+// engines until all of them are late, and fast engines are idle while callers are refused.
+TEST_P(prefill_rate, is_estimated_by_engine_and_service) {
+    const prefill_row& row = GetParam();
     prefill_rates rates;
     const service_id service("s");
     const auto note = [&](std::uint64_t engine, double rate) {
@@ -127,15 +128,15 @@
             note(2, row.rate_of_b);
         }
     }
-    EXPECT_GE(rates.tokens_per_ms(service, 1), row.least_a);
-    EXPECT_LE(rates.tokens_per_ms(service, 1), row.most_a);
-    EXPECT_GE(rates.tokens_per_ms(service, 2), row.least_b);
-    EXPECT_LE(rates.tokens_per_ms(service, 2), row.most_b);
+    EXPECT_GE(rates.tokens_per_ms(service, 1), row.min_a);
+    EXPECT_LE(rates.tokens_per_ms(service, 1), row.max_a);
+    EXPECT_GE(rates.tokens_per_ms(service, 2), row.min_b);
+    EXPECT_LE(rates.tokens_per_ms(service, 2), row.max_b);
     EXPECT_NEAR(rates.tokens_per_ms(service_id("other"), 3), 7.0, 0.01);
 }
 
-// An engine that has become slow is known to be within some prompts.
-TEST(reading_rate_test, a_change_shows) {
+// The estimate follows an engine that becomes slow within some prompts.
+TEST(prefill_rate_test, follows_a_change) {
     prefill_rates rates;
     const service_id service("s");
     for (int i = 0; i < 200; ++i) {
--- a/test/platform/decision_helpers.h
+++ b/test/platform/decision_helpers.h
@@ -6,7 +6,7 @@
 
 namespace bamboostream {
 
-/// A moment for decisions that take the time as an argument.
+/// Start time for tests of functions that take the time as an argument.
 inline const time_point start = time_point{} + seconds(1'000);
 
 /// A registered backend server of the service "s".
--- a/test/platform/modelled_engines.h
+++ b/test/platform/modelled_engines.h
@@ -8,10 +8,11 @@
 
 namespace bamboostream::test {
 
-/// Cache memory of a modelled engine, in tokens.
+/// KV cache capacity of a modelled engine, in tokens.
 inline constexpr std::int64_t modelled_memory_tokens = 21'840;
 
-/// An engine that takes 7 ms a step and reads 14 prompt tokens a millisecond, 112 in one step.
+/// Parameters of an engine that takes 7 ms for a decoding step and prefills 14 prompt tokens a
+/// millisecond, 112 in one step.
 inline standins::engine_parameters modelled_engine() {
     standins::engine_parameters p;
     p.blocks = static_cast<std::uint32_t>(modelled_memory_tokens / p.block_tokens);
@@ -23,7 +24,8 @@
     return p;
 }
 
-/// A log-normal number with this mean; `spread` is the deviation of its logarithm.
+/// Samples a log-normal distribution with this mean; `spread` is the standard deviation of the
+/// logarithm.
 inline double sample_log_normal(double mean, double spread, std::mt19937_64& random) {
     const double mu = std::log(mean) - spread * spread / 2.0;
     return std::lognormal_distribution<double>(mu, spread)(random);
--- a/test/platform/routing_decisions_test.cpp
+++ b/test/platform/routing_decisions_test.cpp
@@ -1,4 +1,5 @@
-// Routes, backend servers, placement, budgets and duties, without a network.
+// Tests routes, the registry and choice of backend servers, load reports and retry budgets, without
+// a network.
 
 #include "bamboostream/Forwarding"
 #include "bamboostream/Gateway"
@@ -50,22 +51,23 @@
     EXPECT_EQ(found ? found->name : "", GetParam().expected);
 }
 
-TEST(route_table_test, services_are_drawn_by_weight) {
+TEST(route_table_test, services_are_picked_by_weight) {
     route_rule route;
     route.services = {{service_id("a"), 90.0}, {service_id("b"), 10.0}, {service_id("c"), 0.0}};
     std::mt19937_64 random(7);
-    std::map<std::string, int> drawn;
+    std::map<std::string, int> picked;
     for (int i = 0; i < 10'000; ++i) {
-        ++drawn[pick_weighted_service(route, random)->text()];
+        ++picked[pick_weighted_service(route, random)->text()];
     }
-    EXPECT_NEAR(drawn["a"], 9'000, 150);
-    EXPECT_EQ(drawn["c"], 0);
+    EXPECT_NEAR(picked["a"], 9'000, 150);
+    EXPECT_EQ(picked["c"], 0);
 }
 
 // --- backend servers
 
-// A server says that it leaves; later the store's history has a gap and an older entry, still
-// ready, is read again. A request sent to it then would be cut when it goes, so it stays leaving.
+// A server announces that it is leaving; later the store's history has a gap, and an older entry,
+// still marked ready, is read again. A request sent to the server then would be interrupted when it
+// stops, so it must stay marked as leaving.
 TEST(backend_registry_test, leaving_is_sticky) {
     backend_registry registry;
     registered_backend b = backend("i-1");
@@ -87,7 +89,7 @@
     return out;
 }
 
-/// What is heard of one id whose server has started twice, in this order.
+/// Entries of one id whose server has started twice, in the order in which they arrive.
 struct second_start_row {
     std::string name;
     std::vector<registered_backend> heard;
@@ -118,10 +120,10 @@
                          false}),
     [](const auto& info) { return info.param.name; });
 
-// An engine leaves and starts again under the id that it had. If its earlier leaving stuck to the
-// id, it would stay idle for good; if an old entry heard late counted, callers would be sent to an
-// engine that leaves, or a sound one would get nothing.
-TEST_P(second_start, is_another_life) {
+// An engine leaves and starts again under the same id. If the leaving state applied to the id, the
+// new process would stay idle forever; if a late entry of the old process counted, requests would
+// go to an engine that is leaving, or a healthy engine would get none.
+TEST_P(second_start, is_another_incarnation) {
     backend_registry registry;
     for (const registered_backend& entry : GetParam().heard) {
         registry.learn(entry, start);
@@ -129,8 +131,8 @@
     EXPECT_EQ(!registry.usable(service_id("s")).empty(), GetParam().usable);
 }
 
-// Whoever keeps something by the id of an engine is told that it began anew.
-TEST(backend_registry_test, a_second_start_is_told) {
+// Components that keep state by the id of an engine must be notified of its restart.
+TEST(backend_registry_test, a_second_start_is_reported) {
     backend_registry registry;
     registry.learn(started_at(1'000, true), start);
     registry.take_changes();
@@ -138,12 +140,12 @@
     const auto changes = registry.take_changes();
     ASSERT_EQ(changes.size(), 1u);
     EXPECT_EQ(changes.front().event, registry_event::restarted);
-    // A telling of another instance about the first life.
+    // A report of another instance about the first incarnation.
     registry.mark_leaving(backend_id("i-1"), 1'000);
     EXPECT_FALSE(registry.usable(service_id("s")).empty());
 }
 
-// The server that was passed over for its failures is gone; the one that has its id now is new.
+// The server that was excluded for its failures is gone; the process that has its id now is new.
 TEST(backend_picker_test, a_second_start_has_a_clean_record) {
     backend_picker picker(1);
     const registered_backend b = backend("i-1");
@@ -157,11 +159,12 @@
     EXPECT_EQ(picker.pick(servers, loads, {}, start)->id, b.id);
 }
 
-/// When an entry is removed, relative to an outage of the store from 0 to 10 s.
+/// When an entry is removed and when it is looked up, relative to an outage of the store from 0 to
+/// 10 s.
 struct removal_row {
     std::string name;
     int removed_at_ms;
-    int asked_at_ms;
+    int checked_at_ms;
     bool back_in_time;
     bool usable;
 };
@@ -178,8 +181,9 @@
                     removal_row{"long_after", 20'000, 20'001, false, false}),
     [](const auto& info) { return info.param.name; });
 
-// While the store is away entries lapse although their servers live. Dropping them would refuse all
-// requests; keeping them for ever would send requests to the dead. They wait for their return.
+// During an outage of the store, entries expire although their servers are alive. Removing them
+// would refuse all requests, and keeping them forever would send requests to dead servers. They are
+// kept until shortly after the outage, so that servers can register again.
 TEST_P(entry_removal, waits_only_around_an_outage) {
     const removal_row row = GetParam();
     backend_registry registry;
@@ -190,10 +194,10 @@
             registry.remove(backend_id("i-1"), at(ms));
         }
     };
-    std::vector<int> moments = {row.removed_at_ms, row.asked_at_ms, 0, 10'000};
+    std::vector<int> moments = {row.removed_at_ms, row.checked_at_ms, 0, 10'000};
     std::sort(moments.begin(), moments.end());
     for (const int ms : moments) {
-        if (ms > row.asked_at_ms) {
+        if (ms > row.checked_at_ms) {
             break;
         }
         if (ms == 0) {
@@ -207,7 +211,7 @@
     if (row.back_in_time) {
         registry.learn(backend("i-1"), at(11'500));
     }
-    registry.expire(at(row.asked_at_ms));
+    registry.expire(at(row.checked_at_ms));
     EXPECT_EQ(!registry.usable(service_id("s")).empty(), row.usable);
 }
 
@@ -220,55 +224,55 @@
     const registered_backend b = backend("b");
     const std::vector<const registered_backend*> servers = {&a, &b};
     loads.add(a.id, {1, 0, 0});
-    const std::vector<backend_work_entry> told = {{backend_hash(b.id), {4, 0, 0}}};
-    loads.hear("peer", told, start);
+    const std::vector<backend_work_entry> report = {{backend_hash(b.id), {4, 0, 0}}};
+    loads.hear("peer", report, start);
     placement_request request;
-    request.near = failure_domain_id("norra");
+    request.preferred_domain = failure_domain_id("norra");
     EXPECT_EQ(picker.pick(servers, loads, request, start)->id, a.id);
-    // What a peer told is forgotten when it has been silent.
+    // The report of a peer expires when the peer is silent.
     EXPECT_EQ(picker.pick(servers, loads, request, start + seconds(3))->id, b.id);
 }
 
-// Instances tell of their work again and again, fall silent and come back. Whatever the order, the
-// work at a server is what each of those heard of lately told last, and this instance's own.
-TEST(load_book_test, sums_are_those_of_the_latest_tellings) {
+// Instances report their work repeatedly, fall silent and return. In any order, the work at a
+// server must be the sum of the latest unexpired reports and this instance's own work.
+TEST(load_table_test, sums_are_those_of_the_latest_tellings) {
     constexpr int peers = 12;
     constexpr int servers = 5;
     std::mt19937_64 random(5);
     load_table loads;
-    struct telling {
+    struct work_report {
         time_point at;
         std::vector<backend_work_entry> entries;
     };
-    std::map<std::string, telling> latest;
+    std::map<std::string, work_report> latest;
     time_point now = start;
     for (int round = 0; round < 2'000; ++round) {
         now += milliseconds(random() % 300);
         const std::string peer = std::to_string(random() % peers);
-        telling told{now, {}};
+        work_report report{now, {}};
         for (int s = 0; s < servers; ++s) {
             if (random() % 2 == 0) {
                 const auto tokens = static_cast<std::int64_t>(random() % 4'000);
-                told.entries.push_back(
+                report.entries.push_back(
                     {backend_hash(backend_id(std::to_string(s))), {1, tokens, 7}});
             }
         }
-        loads.hear(peer, told.entries, now);
-        latest[peer] = told;
-        const backend_id asked(std::to_string(random() % servers));
+        loads.hear(peer, report.entries, now);
+        latest[peer] = report;
+        const backend_id checked(std::to_string(random() % servers));
         backend_work expected;
         std::set<std::string> peers_reporting;
         for (const auto& [name, from] : latest) {
             for (const backend_work_entry& entry : from.entries) {
                 if (now - from.at <= load_table::peer_report_lifetime &&
-                    entry.backend == backend_hash(asked)) {
+                    entry.backend == backend_hash(checked)) {
                     expected += entry.work;
                     peers_reporting.insert(name);
                 }
             }
         }
-        ASSERT_EQ(loads.total(asked, now), expected) << round;
-        const auto found = loads.peers_reporting(asked, now);
+        ASSERT_EQ(loads.total(checked, now), expected) << round;
+        const auto found = loads.peers_reporting(checked, now);
         ASSERT_EQ(std::set<std::string>(found.begin(), found.end()), peers_reporting) << round;
     }
 }
@@ -286,9 +290,9 @@
     EXPECT_EQ(picker.pick(servers, loads, request, start)->id, b.id);
 }
 
-// One of four servers fails everything. Requests turn to the others, and when all fail nobody is
-// left out for good: the crowd is never ejected.
-TEST(backend_picker_test, a_failing_server_gets_little_and_the_crowd_is_kept) {
+// One of four servers fails all requests, and the others get nearly all of the load. When all
+// servers fail, there must still be one to choose: outlier detection never ejects all of them.
+TEST(backend_picker_test, failing_server_is_avoided_but_never_all_are_ejected) {
     backend_picker picker(1);
     load_table loads;
     std::vector<registered_backend> all = {backend("a"), backend("b"), backend("c"), backend("d")};
@@ -313,9 +317,10 @@
     EXPECT_NE(picker.pick(servers, loads, request, start), nullptr);
 }
 
-// The store is away and engines go without a word. Each request that finds one gone goes to
-// another, and nobody tries the gone one again for a while, unless nothing else is left.
-TEST(backend_picker_test, an_unreachable_server_is_passed_over_for_a_while) {
+// During an outage of the store engines stop without their entries being removed. A request that
+// can't reach one goes to another, and the unreachable one is excluded for a while unless no other
+// is left.
+TEST(backend_picker_test, unreachable_server_is_excluded_for_a_while) {
     backend_picker picker(1);
     load_table loads;
     const registered_backend a = backend("a");
@@ -337,9 +342,9 @@
 
 // --- retries
 
-// Backend servers fail and every instance wants to send again. The sum over all instances must stay
-// under the ratio of all requests plus the slack, also while the count of instances lags.
-TEST(window_budget_test, the_sum_over_all_instances_stays_under_the_rule) {
+// Backend servers fail and all instances retry. The sum over all instances must stay under the
+// ratio of all requests plus the slack, with a margin for a count of instances that lags.
+TEST(window_budget_test, the_sum_over_all_instances_stays_under_the_limit) {
     constexpr int instances = 8;
     constexpr int requests_each = 50;
     const window_budget_rules rules{0.2, 56.0, seconds(10)};
@@ -357,7 +362,7 @@
     EXPECT_GE(spent, 0.4 * (0.2 * instances * requests_each + 56.0));
 }
 
-TEST(window_budget_test, what_was_spent_comes_back_after_the_window) {
+TEST(window_budget_test, budget_is_restored_after_the_window) {
     window_budget budget({0.0, 2.0, seconds(10)});
     EXPECT_TRUE(budget.try_spend(service_id("s"), 1, start));
     EXPECT_FALSE(budget.try_spend(service_id("s"), 1, start + seconds(9)));
--- a/test/quarantine_load_test.cpp
+++ b/test/quarantine_load_test.cpp
@@ -1,5 +1,5 @@
-// Harmful requests beside ordinary load, in virtual time: how many servers they end, and whether
-// requests that merely ran beside them are held.
+// Simulates harmful requests beside ordinary load in virtual time: how many servers they crash, and
+// whether requests that only ran beside them are held.
 
 #include "bamboostream/Limits"
 
@@ -16,31 +16,33 @@
 
 constexpr int step_ms = 10;
 constexpr int engine_restart_ms = 3'000;
-constexpr int sends_an_attempt = 2;
-constexpr int attempts_of_a_caller = 2;
-constexpr int play_ms = 40'000;
+constexpr int sends_per_attempt = 2;
+constexpr int attempts_per_caller = 2;
+constexpr int simulated_ms = 40'000;
 
-struct load_row {
+struct load_parameters {
     std::string name;
     int engines;
     int harmful;
-    /// From the start of a harmful request until its engine ends.
-    int harm_ms;
-    /// Between two attempts at each harmful request.
+    /// From the start of a harmful request until its engine crashes.
+    int time_to_crash_ms;
+    /// Time between two attempts at each harmful request.
     int repeat_ms;
-    /// Attempts that arrive at once.
+    /// Number of attempts that arrive at the same time.
     int copies;
-    /// This share of the engines ends together each five seconds.
-    double lost_together;
-    /// Servers that each harmful request may end: three and what was under way then.
-    int most_ends;
+    /// Fraction of the engines that crash at the same time every five seconds.
+    double simultaneous_loss;
+    /// Limit on the servers that each harmful request crashes: three, plus the attempts in progress
+    /// when it is held.
+    int max_crashes;
 };
 
-std::vector<load_row> load_rows() {
+std::vector<load_parameters> load_rows() {
     return {
         {"one_at_a_time", 14, 1, 60, 300, 1, 0.0, 3},
         {"one_that_ends_engines_late", 14, 1, 2'000, 300, 1, 0.0, 14},
-        // Two sends of each end engines within one moment; the next attempts tell.
+        // The two sends of each copy crash engines within `common_cause_window`; only the next
+        // attempts are evidence.
         {"four_copies_at_once", 14, 1, 60, 1'000, 4, 0.0, 12},
         {"five_requests", 60, 5, 60, 300, 1, 0.0, 4},
         {"beside_lost_racks", 60, 2, 60, 300, 1, 0.2, 4},
@@ -49,7 +51,7 @@
 }
 
 /// One attempt at a request on an engine.
-struct running {
+struct attempt {
     request_digest digest;
     int until = 0;
     int sends = 0;
@@ -59,31 +61,32 @@
 };
 
 struct engine {
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     int down_until = 0;
-    std::vector<running> work;
+    std::vector<attempt> work;
 };
 
-class load_play {
+class quarantine_simulation {
 public:
-    load_play(const load_row& row, unsigned seed) : row_(row), random_(seed) {
+    quarantine_simulation(const load_parameters& row, unsigned seed)
+        : parameters_(row), random_(seed) {
         engines_.resize(static_cast<std::size_t>(row.engines));
         for (engine& it : engines_) {
-            it.life = ++lives_;
+            it.incarnation = ++incarnation_count_;
         }
     }
 
     void run() {
-        for (now_ = 0; now_ < play_ms; now_ += step_ms) {
+        for (now_ = 0; now_ < simulated_ms; now_ += step_ms) {
             arrive();
-            lose_together();
+            crash_simultaneously();
             finish_work();
         }
     }
 
-    /// Ends under each harmful request.
-    const std::vector<int>& ends() const { return ends_; }
-    std::size_t innocents_held() const { return innocents_held_.size(); }
+    /// Number of crashes caused by each harmful request.
+    const std::vector<int>& crashes() const { return crashes_; }
+    std::size_t bystanders_held() const { return bystanders_held_.size(); }
     std::size_t served() const { return served_; }
 
 private:
@@ -91,11 +94,17 @@
     bool chance(double p) { return std::bernoulli_distribution(p)(random_); }
 
     void arrive() {
-        ends_.resize(static_cast<std::size_t>(row_.harmful));
-        for (int i = 0; i < row_.harmful; ++i) {
-            if ((now_ + 70 * i) % row_.repeat_ms < step_ms) {
-                for (int copy = 0; copy < row_.copies; ++copy) {
-                    send({{1, static_cast<std::uint64_t>(i)}, row_.harm_ms, 0, 0, true, true}, {});
+        crashes_.resize(static_cast<std::size_t>(parameters_.harmful));
+        for (int i = 0; i < parameters_.harmful; ++i) {
+            if ((now_ + 70 * i) % parameters_.repeat_ms < step_ms) {
+                for (int copy = 0; copy < parameters_.copies; ++copy) {
+                    send({{1, static_cast<std::uint64_t>(i)},
+                          parameters_.time_to_crash_ms,
+                          0,
+                          0,
+                          true,
+                          true},
+                         {});
                 }
             }
         }
@@ -109,17 +118,17 @@
         }
     }
 
-    /// `work.until` is how long it runs.
-    void send(running work, std::optional<std::uint64_t> not_to) {
+    /// `work.until` holds the duration of the attempt here.
+    void send(attempt work, std::optional<std::uint64_t> excluded) {
         if (quarantine_.holds(work.digest)) {
             if (!work.harmful) {
-                innocents_held_.insert(work.digest);
+                bystanders_held_.insert(work.digest);
             }
             return;
         }
         std::vector<engine*> up;
         for (engine& it : engines_) {
-            if (it.down_until <= now_ && it.life != not_to) {
+            if (it.down_until <= now_ && it.incarnation != excluded) {
                 up.push_back(&it);
             }
         }
@@ -137,14 +146,14 @@
 
     void finish_work() {
         for (engine& it : engines_) {
-            const bool ends = std::any_of(it.work.begin(), it.work.end(), [&](const running& w) {
+            const bool crashes = std::any_of(it.work.begin(), it.work.end(), [&](const attempt& w) {
                 return w.harmful && w.until <= now_;
             });
-            if (ends) {
-                end(it);
+            if (crashes) {
+                crash_engine(it);
                 continue;
             }
-            std::erase_if(it.work, [&](const running& w) {
+            std::erase_if(it.work, [&](const attempt& w) {
                 if (w.until > now_) {
                     return false;
                 }
@@ -155,45 +164,45 @@
         }
     }
 
-    void lose_together() {
-        if (row_.lost_together > 0.0 && now_ > 0 && now_ % 5'000 == 0) {
-            const auto count =
-                static_cast<std::size_t>(row_.lost_together * static_cast<double>(row_.engines));
+    void crash_simultaneously() {
+        if (parameters_.simultaneous_loss > 0.0 && now_ > 0 && now_ % 5'000 == 0) {
+            const auto count = static_cast<std::size_t>(parameters_.simultaneous_loss *
+                                                        static_cast<double>(parameters_.engines));
             for (std::size_t i = 0; i < count; ++i) {
                 engine& it = engines_[(i + static_cast<std::size_t>(now_)) % engines_.size()];
                 if (it.down_until <= now_) {
-                    end(it);
+                    crash_engine(it);
                 }
             }
         }
     }
 
-    void end(engine& it) {
-        const std::vector<running> work = std::exchange(it.work, {});
-        const std::uint64_t life = std::exchange(it.life, ++lives_);
+    void crash_engine(engine& it) {
+        const std::vector<attempt> work = std::exchange(it.work, {});
+        const std::uint64_t incarnation = std::exchange(it.incarnation, ++incarnation_count_);
         it.down_until = now_ + engine_restart_ms;
-        for (const running& w : work) {
+        for (const attempt& w : work) {
             crash_evidence seen;
             seen.request = w.digest;
-            seen.server = life;
+            seen.server = incarnation;
             seen.caller = w.digest.high;
             seen.at = clock();
             seen.answering = true;
             quarantine_.add_evidence(seen, clock());
             if (w.harmful && w.until <= now_) {
-                ++ends_[w.digest.low];
+                ++crashes_[w.digest.low];
             }
         }
         withdraw_held();
-        for (running w : work) {
-            const int length = w.harmful ? row_.harm_ms : 300;
+        for (attempt w : work) {
+            const int length = w.harmful ? parameters_.time_to_crash_ms : 300;
             if (!w.repeatable) {
                 continue;
             }
             w.until = length;
-            if (w.sends < sends_an_attempt) {
-                send(w, life);
-            } else if (++w.attempts < attempts_of_a_caller && !w.harmful) {
+            if (w.sends < sends_per_attempt) {
+                send(w, incarnation);
+            } else if (++w.attempts < attempts_per_caller && !w.harmful) {
                 w.sends = 0;
                 send(w, {});
             }
@@ -202,38 +211,38 @@
 
     void withdraw_held() {
         for (engine& it : engines_) {
-            std::erase_if(it.work, [&](const running& w) { return quarantine_.holds(w.digest); });
+            std::erase_if(it.work, [&](const attempt& w) { return quarantine_.holds(w.digest); });
         }
     }
 
-    const load_row& row_;
+    const load_parameters& parameters_;
     std::mt19937 random_;
     request_quarantine quarantine_;
     std::vector<engine> engines_;
-    std::vector<int> ends_;
-    std::set<request_digest> innocents_held_;
-    std::uint64_t lives_ = 0;
+    std::vector<int> crashes_;
+    std::set<request_digest> bystanders_held_;
+    std::uint64_t incarnation_count_ = 0;
     std::uint64_t requests_ = 0;
     std::size_t served_ = 0;
     int now_ = 0;
 };
 
-class quarantine_load : public testing::TestWithParam<load_row> {};
+class quarantine_load : public testing::TestWithParam<load_parameters> {};
 
 INSTANTIATE_TEST_SUITE_P(table, quarantine_load, testing::ValuesIn(load_rows()),
                          [](const auto& info) { return info.param.name; });
 
-// Guards against a harmful request that ends more servers than it must to be known, and against
-// bystanders that are refused for it.
-TEST_P(quarantine_load, ends_few_servers_and_holds_no_bystander) {
+// Guards against a harmful request that crashes more servers than its detection needs, and against
+// bystanders that are refused because of it.
+TEST_P(quarantine_load, crashes_few_servers_and_holds_no_bystander) {
     for (unsigned seed = 1; seed <= 20; ++seed) {
-        load_play play(GetParam(), seed);
-        play.run();
-        for (const int ends : play.ends()) {
-            EXPECT_LE(ends, GetParam().most_ends) << "seed " << seed;
+        quarantine_simulation simulation(GetParam(), seed);
+        simulation.run();
+        for (const int crashes : simulation.crashes()) {
+            EXPECT_LE(crashes, GetParam().max_crashes) << "seed " << seed;
         }
-        EXPECT_EQ(play.innocents_held(), 0u) << "seed " << seed;
-        EXPECT_GT(play.served(), 100u);
+        EXPECT_EQ(simulation.bystanders_held(), 0u) << "seed " << seed;
+        EXPECT_GT(simulation.served(), 100u);
     }
 }
 
--- a/test/routing_test.cpp
+++ b/test/routing_test.cpp
@@ -8,7 +8,7 @@
 
 const time_point start{seconds(100)};
 
-// With lengths known, the predicted peak is never under the true one and close above it.
+// With exact lengths, the predicted peak is never below the true peak and at most 25% above it.
 TEST(memory_forecast_test, exact_demands_bound_the_true_peak) {
     std::mt19937_64 random(9);
     for (int round = 0; round < 50; ++round) {
@@ -33,7 +33,7 @@
     }
 }
 
-TEST(memory_forecast_test, caution_counts_the_spread) {
+TEST(memory_forecast_test, margin_reflects_the_variance) {
     std::array<double, forecast_horizon.size()> survival{};
     survival.fill(0.5);
     memory_forecast forecast;
@@ -51,7 +51,7 @@
 };
 class ejection_test : public testing::TestWithParam<ejection_case> {};
 
-TEST_P(ejection_test, never_ejects_the_crowd) {
+TEST_P(ejection_test, limits_ejections_to_a_fraction_of_the_group) {
     outlier_detector detector;
     for (int round = 0; round < 5; ++round) {
         for (int i = 0; i < GetParam().failing; ++i) {
@@ -73,7 +73,7 @@
                                          ejection_case{"one_of_two", 1, 2, 0}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(outlier_test, comes_back_after_its_time) {
+TEST(outlier_test, readmits_after_the_ejection_time) {
     outlier_detector detector;
     for (int i = 0; i < 3; ++i) {
         detector.on_failure("b", 10, start);
@@ -82,7 +82,7 @@
     EXPECT_FALSE(detector.ejected("b", start + milliseconds(2'100)));
 }
 
-TEST(retry_budget_test, retries_are_a_share_of_first_tries) {
+TEST(retry_budget_test, retries_are_a_fraction_of_first_attempts) {
     retry_budget budget(0.1, 2.0);
     int allowed = 0;
     for (int i = 0; i < 1000; ++i) {
@@ -92,7 +92,8 @@
     EXPECT_NEAR(allowed, 102, 2);
 }
 
-// A report that lags must not count the same work twice, and foreign work must be left room for.
+// A delayed report must not count the same work twice, and memory must be reserved for work that
+// the scheduler doesn't know.
 TEST(engine_view_test, lagging_report_is_compared_with_its_own_moment) {
     engine_view view(backend_id("e"), failure_domain_id("d"));
     engine_report report;
