--- a/test/request_quarantine_test.cpp
+++ b/test/request_quarantine_test.cpp
@@ -40,7 +40,7 @@
         {"three_servers",
          {evidence_at(1, 1, 0), evidence_at(1, 2, 500), evidence_at(1, 3, 900)},
          {1}},
-        {"one_server_told_three_times",
+        {"one_server_reported_three_times",
          {evidence_at(1, 1, 0), evidence_at(1, 1, 500), evidence_at(1, 1, 900)},
          {}},
         {"three_servers_lost_at_one_moment",
@@ -49,7 +49,7 @@
         {"three_requests_on_three_servers",
          {evidence_at(1, 1, 0), evidence_at(2, 2, 500), evidence_at(3, 3, 900)},
          {}},
-        {"a_bystander_of_two_ends_with_one_of_its_own",
+        {"a_bystander_of_two_crashes_with_one_of_its_own",
          {evidence_at(1, 1, 0), evidence_at(1, 2, 500), evidence_at(1, 3, 900),
           evidence_at(2, 1, 0), evidence_at(2, 2, 500), evidence_at(2, 9, 1'300),
           evidence_at(1, 4, 1'700)},
@@ -68,7 +68,7 @@
           evidence_at(2, 1, 0), evidence_at(2, 2, 500), evidence_at(2, 3, 900),
           evidence_at(2, 4, 4'000), evidence_at(1, 5, 5'000)},
          {1, 2}},
-        {"a_bystander_of_three_ends_and_of_a_fourth_by_the_same",
+        {"a_bystander_of_three_crashes_and_of_a_fourth_by_the_same",
          {evidence_at(1, 1, 0), evidence_at(1, 2, 500), evidence_at(1, 3, 900),
           evidence_at(1, 4, 1'300), evidence_at(1, 5, 1'700), evidence_at(2, 1, 0),
           evidence_at(2, 2, 500), evidence_at(2, 3, 900), evidence_at(2, 4, 1'300)},
@@ -131,7 +131,7 @@
     EXPECT_FALSE(quarantine.add_evidence(evidence_at(1, 2, 800), start + seconds(4)));
     EXPECT_FALSE(quarantine.holds(digest(1)));
     quarantine.add_evidence(evidence_at(1, 7, 5'000), start + seconds(6));
-    EXPECT_FALSE(quarantine.holds(digest(1))) << "one end since it was answered";
+    EXPECT_FALSE(quarantine.holds(digest(1))) << "one crash since it was answered";
 }
 
 // Guards against an instance that learns of the response before it learns of the crashes.
@@ -152,7 +152,7 @@
     quarantine.add_evidence(evidence_at(2, 1, 0), start + seconds(2));
     quarantine.expire(start + seconds(125));
     EXPECT_TRUE(quarantine.holds(digest(1)));
-    EXPECT_EQ(quarantine.size(), 3u) << "the suspicion of the other has lapsed";
+    EXPECT_EQ(quarantine.size(), 3u) << "the evidence of a single server has expired";
     EXPECT_LE(quarantine.held_for(digest(1), start + seconds(125)), std::chrono::minutes(28));
     quarantine.expire(start + std::chrono::minutes(31));
     EXPECT_FALSE(quarantine.any());
--- a/test/retry_delay_test.cpp
+++ b/test/retry_delay_test.cpp
@@ -24,31 +24,31 @@
 INSTANTIATE_TEST_SUITE_P(
     table, retry_delay_case,
     testing::Values(
-        delay_row{"stream_in_a_crowd",
+        delay_row{"stream_in_an_overload",
                   {refusal_cause::overloaded, milliseconds(1'800), milliseconds(39'000)},
                   900,
                   1'800},
-        delay_row{"call_in_a_crowd",
+        delay_row{"call_in_an_overload",
                   {refusal_cause::overloaded, milliseconds(100), milliseconds(600)},
                   100,
                   200},
-        delay_row{"stream_in_a_crowd_of_four_seconds",
+        delay_row{"stream_in_an_overload_of_four_seconds",
                   {refusal_cause::overloaded, milliseconds(1'800), milliseconds(39'000),
                    milliseconds(4'000)},
                   4'000,
                   8'000},
-        delay_row{"stream_in_a_crowd_of_a_minute",
+        delay_row{"stream_in_an_overload_of_a_minute",
                   {refusal_cause::overloaded, milliseconds(1'800), milliseconds(39'000),
                    milliseconds(60'000)},
                   10'000,
                   13'000},
-        delay_row{"label_in_a_crowd_of_four_seconds",
+        delay_row{"label_in_an_overload_of_four_seconds",
                   {refusal_cause::overloaded, milliseconds(1'500), milliseconds(6'000),
                    milliseconds(4'000)},
                   1'538,
                   2'000},
         delay_row{
-            "says_no_patience_in_a_crowd_of_four_seconds",
+            "no_timeout_stated_in_an_overload_of_four_seconds",
             {refusal_cause::overloaded, milliseconds(1'500), std::nullopt, milliseconds(4'000)},
             750,
             1'500},
@@ -64,7 +64,7 @@
                   {refusal_cause::state_unknown, duration{}, milliseconds(1'000)},
                   250,
                   325},
-        delay_row{"says_no_patience",
+        delay_row{"no_timeout_stated",
                   {refusal_cause::state_unknown, duration{}, std::nullopt},
                   1'000,
                   2'000},
@@ -98,11 +98,10 @@
 // callers would retry at the same moment.
 TEST(retry_delay_bound, never_exceeds_what_callers_honour_in_an_outage) {
     std::mt19937_64 random(7);
-    for (int patience_ms = 600; patience_ms <= 60'000; patience_ms += 300) {
+    for (int timeout_ms = 600; timeout_ms <= 60'000; timeout_ms += 300) {
         const refused_request request{refusal_cause::state_unknown, milliseconds(500),
-                                      milliseconds(patience_ms)};
-        EXPECT_LE(choose_retry_delay(request, random),
-                  milliseconds(patience_ms / max_wait_divisor));
+                                      milliseconds(timeout_ms)};
+        EXPECT_LE(choose_retry_delay(request, random), milliseconds(timeout_ms / max_wait_divisor));
     }
 }
 
