--- a/bamboostream/src/Forwarding/engine_choice.cpp
+++ b/bamboostream/src/Forwarding/engine_choice.cpp
@@ -24,7 +24,7 @@
 
 void record_send(forwarding_state& state, const registered_backend& server, time_point now) {
     if (now < server.slow_until) {
-        state.cold_starts.note(server.id, now);
+        state.cold_starts.record_send(server.id, now);
     }
 }
 
@@ -32,22 +32,23 @@
                             sender_role role, time_point now) {
     placement_request wanted;
     wanted.avoid = request.avoid;
-    wanted.near = request.near;
+    wanted.preferred_domain = request.preferred_domain;
     wanted.server_memory_tokens = request.engine_memory_tokens;
     const admission_request admission_terms{request.work, request.engine_memory_tokens,
                                             request.priority, request.objective};
     const auto check_engine = [&](const registered_backend& engine) {
-        return judge_admission(state.admission, admission_terms, state.loads.total(engine.id, now),
-                               state.prefill.tokens_a_ms(request.service, work_key(engine.id)));
+        return check_admission(
+            state.admission, admission_terms, state.loads.total(engine.id, now),
+            state.prefill.tokens_per_ms(request.service, backend_hash(engine.id)));
     };
     const auto engines = servers_with_capacity(state, request.service, role, now);
     std::vector<const registered_backend*> admitting = engines;
     std::erase_if(admitting, [&](const registered_backend* engine) {
-        return check_engine(*engine) != admission_verdict::admit;
+        return check_engine(*engine) != admission_result::admit;
     });
     if (const auto* chosen = state.picker.pick(admitting, state.loads, wanted, now)) {
         record_send(state, *chosen, now);
-        return {*chosen, admission_verdict::admit, state.loads.total(chosen->id, now), {}};
+        return {*chosen, admission_result::admit, state.loads.total(chosen->id, now), {}};
     }
     // No engine admits the request: the least loaded one gives the reason and the load to report.
     const registered_backend* least_loaded = state.picker.pick(engines, state.loads, wanted, now);
@@ -55,7 +56,7 @@
         return {};
     }
     return {*least_loaded, check_engine(*least_loaded), state.loads.total(least_loaded->id, now),
-            state.overloads[request.service].note_refusal(now)};
+            state.overloads[request.service].record_refusal(now)};
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Forwarding/engine_choice.h
+++ b/bamboostream/src/Forwarding/engine_choice.h
@@ -5,7 +5,7 @@
 #include "bamboostream/src/Limits/cold_start_limit.h"
 #include "bamboostream/src/Limits/engine_admission.h"
 #include "bamboostream/src/Membership/backend_registry.h"
-#include "bamboostream/src/Routing/load_book.h"
+#include "bamboostream/src/Routing/load_table.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <optional>
@@ -28,14 +28,14 @@
     /// Excluded engines, for instance those at which the request has failed.
     std::vector<backend_id> avoid;
     /// Engines in this failure domain are preferred.
-    failure_domain_id near;
+    failure_domain_id preferred_domain;
 };
 
 /// The engine chosen for a generation, and whether admission control lets it start there now.
 struct engine_choice {
     /// Nothing if no engine is available.
     std::optional<registered_backend> engine;
-    admission_verdict result = admission_verdict::admit;
+    admission_result result = admission_result::admit;
     /// The engine's work on which `result` is based.
     backend_work work;
     /// If not admitted: how long generations of the service have been refused.
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -244,13 +244,13 @@
     if (process != process_state::ended || leaving) {
         co_return;
     }
-    harm_evidence evidence;
+    crash_evidence evidence;
     evidence.request = digest();
-    evidence.server = life_key(sent_to_.id.text(), sent_to_.started_ms);
+    evidence.server = incarnation_key(sent_to_.id.text(), sent_to_.started_ms);
     evidence.caller = stable_hash(workspace_ ? workspace_->text() : "");
     evidence.at = lost_at;
     evidence.answering = response_head_received_;
-    state_.quarantine.note_own(evidence, monotonic_now());
+    state_.quarantine.add_local_evidence(evidence, monotonic_now());
 }
 
 /// Skipped if the engine's memory was full: its prompts wait for memory, so the time to the first
@@ -261,11 +261,11 @@
             service_->engine->memory_tokens) {
         return;
     }
-    const reading_sample sample{
+    const prefill_sample sample{
         static_cast<double>(work_before_send_->unread_tokens + request_.prompt_tokens),
         to_milliseconds(first_event_ - sent_at_)};
-    state_.prefill.note(service_->id, work_key(work_backend_), sample);
-    state_.engine_outcomes.note_reading(work_backend_, sample);
+    state_.prefill.note(service_->id, backend_hash(work_backend_), sample);
+    state_.engine_outcomes.record_prefill(work_backend_, sample);
 }
 
 bool forwarded_call::is_movable() const {
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -72,7 +72,7 @@
     request_ = std::move(*request);
     request_.expected_output_tokens = estimate_output_tokens(request_);
     if (!routes_) {
-        return rejection{503, "not_ready", refusal_cause::nothing_known};
+        return rejection{503, "not_ready", refusal_cause::state_unknown};
     }
     route_ = routes_->find_route(request_.host, exchange_.request().path);
     if (route_ == nullptr) {
@@ -81,10 +81,10 @@
     if (auto refused = find_workspace()) {
         return refused;
     }
-    const service_id* service = draw_service(*route_, state_.random);
+    const service_id* service = pick_weighted_service(*route_, state_.random);
     service_ = service ? routes_->find_service(*service) : nullptr;
     if (service_ == nullptr) {
-        return rejection{503, "no_service", refusal_cause::nothing_known};
+        return rejection{503, "no_service", refusal_cause::state_unknown};
     }
     const milliseconds caller_timeout = request_.caller_timeout.value_or(route_->timeout);
     deadline_ = arrival_ + std::min(caller_timeout, route_->timeout);
@@ -110,7 +110,7 @@
     while (refused && refused->depends_on_configuration &&
            state_.announced_configuration > routes_->configuration().version) {
         if (monotonic_now() >= limit) {
-            co_return rejection{503, "configuration_late", refusal_cause::crowded};
+            co_return rejection{503, "configuration_late", refusal_cause::overloaded};
         }
         co_await pause_for(configuration_poll_interval);
         if (state_.routes != routes_) {
@@ -141,7 +141,7 @@
     if (cause == refusal_cause::quarantined) {
         about.quarantine = state_.quarantine.held_for(*digest_, monotonic_now());
     }
-    return come_back_after(about, state_.random);
+    return choose_retry_delay(about, state_.random);
 }
 
 /// While the store is unavailable, servers that can't be reached are those that have ended since,
@@ -152,7 +152,7 @@
     }
     const bool known =
         !state_.registry.store_away() && !state_.registry.usable(service_->id).empty();
-    return admission_refused_ || known ? refusal_cause::crowded : refusal_cause::nothing_known;
+    return admission_refused_ || known ? refusal_cause::overloaded : refusal_cause::state_unknown;
 }
 
 asio::awaitable<void> forwarded_call::reject(rejection why) {
@@ -210,7 +210,7 @@
     }
     placement_request wanted;
     wanted.avoid = avoid_;
-    wanted.near = state_.local_failure_domain;
+    wanted.preferred_domain = state_.local_failure_domain;
     wanted.server_memory_tokens = service_->engine ? service_->engine->memory_tokens : 0;
     const time_point now = monotonic_now();
     const sender_role role = service_->engine ? own_role(state_, service_->id) : sender_role::peer;
@@ -231,7 +231,7 @@
     wanted.priority = priority_;
     wanted.objective = route_->objective;
     wanted.avoid = avoid_;
-    wanted.near = state_.local_failure_domain;
+    wanted.preferred_domain = state_.local_failure_domain;
     std::optional<engine_choice> choice;
     if (state_.scheduler != nullptr) {
         choice = co_await state_.scheduler->choose(wanted);
@@ -242,7 +242,7 @@
     if (!choice->engine) {
         co_return std::nullopt;
     }
-    if (choice->result != admission_verdict::admit) {
+    if (choice->result != admission_result::admit) {
         admission_refused_ = true;
         overload_duration_ = choice->overload;
         log_admission_refusal(*choice);
@@ -255,7 +255,7 @@
     log_event(events::request_refused,
               "request={} reason={} route={} backend={} memory_tokens={} unread_tokens={} of={}",
               request_.id,
-              choice.result == admission_verdict::memory_full ? "memory_full" : "prompts_queued",
+              choice.result == admission_result::memory_full ? "memory_full" : "prompts_queued",
               route_->name, choice.engine->id.text(), choice.work.memory_tokens,
               choice.work.unread_tokens, service_->engine->memory_tokens);
 }
--- a/bamboostream/src/Forwarding/forwarding_state.h
+++ b/bamboostream/src/Forwarding/forwarding_state.h
@@ -7,16 +7,16 @@
 #include "bamboostream/src/Forwarding/latency_metrics.h"
 #include "bamboostream/src/Http/http_channel_pool.h"
 #include "bamboostream/src/Limits/cold_start_limit.h"
-#include "bamboostream/src/Limits/come_back.h"
 #include "bamboostream/src/Limits/engine_admission.h"
-#include "bamboostream/src/Limits/overload_watch.h"
+#include "bamboostream/src/Limits/overload_tracker.h"
 #include "bamboostream/src/Limits/quarantine_registry.h"
+#include "bamboostream/src/Limits/retry_delay.h"
 #include "bamboostream/src/Membership/backend_registry.h"
 #include "bamboostream/src/Membership/view_age.h"
 #include "bamboostream/src/Routing/backend_picker.h"
-#include "bamboostream/src/Routing/load_book.h"
-#include "bamboostream/src/Routing/outcome_book.h"
-#include "bamboostream/src/Routing/reading_rates.h"
+#include "bamboostream/src/Routing/load_table.h"
+#include "bamboostream/src/Routing/outcome_collector.h"
+#include "bamboostream/src/Routing/prefill_rates.h"
 #include "bamboostream/src/Routing/route_table.h"
 #include "bamboostream/src/Routing/window_budget.h"
 
@@ -79,18 +79,18 @@
     /// Age of this instance's view of the backend servers' entries and of the configuration.
     view_age entries_view;
     view_age documents_view;
-    load_book loads;
+    load_table loads;
     /// Prefill speed of the engines, as measured here and reported by other instances.
-    reading_rates prefill;
+    prefill_rates prefill;
     window_budget budget;
     admission_rules admission;
     backend_picker picker;
     cold_start_limit cold_starts;
     /// Overload per service, from the generations that this instance refused while choosing
     /// engines.
-    std::unordered_map<service_id, overload_watch> overloads;
+    std::unordered_map<service_id, overload_tracker> overloads;
     /// Results to report to the instances that choose engines for this one.
-    outcome_book engine_outcomes;
+    outcome_collector engine_outcomes;
     http_channel_pool channels;
     server_check server_checks;
     /// Requests that crash the backend servers which execute them.
--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -120,7 +120,7 @@
 gateway::parts::~parts() {
     forwarding.scheduler = nullptr;
     forwarding.on_generation_change = nullptr;
-    forwarding.quarantine.detach();
+    forwarding.quarantine.clear_listeners();
     forwarding.on_registry_change = nullptr;
 }
 
@@ -175,7 +175,7 @@
             forwarding.picker.forget(change.backend.id);
         }
         if (change.event == registry_event::gone || change.event == registry_event::restarted) {
-            forwarding.prefill.forget(work_key(change.backend.id));
+            forwarding.prefill.forget(backend_hash(change.backend.id));
         }
     });
     forwarding.on_generation_change = [this] { peers->on_load_change(); };
@@ -186,13 +186,13 @@
 }
 
 void gateway::parts::connect_quarantine() {
-    forwarding.quarantine.on_evidence([this](const harm_evidence& it) { quarantine->note(it); });
+    forwarding.quarantine.on_evidence([this](const crash_evidence& it) { quarantine->note(it); });
     forwarding.quarantine.on_change(
         [this](const request_digest& it) { persister->note_change(it); });
-    forwarding.quarantine.set_server_names([this](std::uint64_t life) {
+    forwarding.quarantine.set_server_name_lookup([this](std::uint64_t life) {
         const registered_backend* known =
             forwarding.registry.find_if([life](const registered_backend& it) {
-                return life_key(it.id.text(), it.started_ms) == life;
+                return incarnation_key(it.id.text(), it.started_ms) == life;
             });
         return known != nullptr ? known->id.text() : std::string();
     });
--- a/bamboostream/src/Gateway/owner_scheduler.cpp
+++ b/bamboostream/src/Gateway/owner_scheduler.cpp
@@ -52,14 +52,14 @@
     for (const backend_outcomes& reported : outcomes_from_wire(report)) {
         const registered_backend* engine =
             forwarding_.registry.find_if([&reported](const registered_backend& it) {
-                return work_key(it.id) == reported.backend;
+                return backend_hash(it.id) == reported.backend;
             });
         if (engine != nullptr) {
             const std::size_t group = forwarding_.registry.usable(engine->service).size();
             forwarding_.picker.note(engine->id, reported.succeeded, reported.failed, group, now);
             forwarding_.prefill.note(engine->service, reported.backend,
-                                     {static_cast<double>(reported.tokens_read),
-                                      static_cast<double>(reported.reading_ms)});
+                                     {static_cast<double>(reported.prefill_tokens),
+                                      static_cast<double>(reported.prefill_ms)});
         }
     }
 }
@@ -69,7 +69,7 @@
     // The owner may not know yet which engines are excluded here.
     engine_request asked = request;
     for (const registered_backend* engine : forwarding_.registry.usable(request.service)) {
-        if (forwarding_.picker.passed_over(engine->id, monotonic_now())) {
+        if (forwarding_.picker.is_excluded(engine->id, monotonic_now())) {
             asked.avoid.push_back(engine->id);
         }
     }
@@ -118,10 +118,10 @@
         }
         const std::vector<std::string> order = owners(service.id);
         const auto own = std::find(order.begin(), order.end(), membership_.own_address());
-        const sender_role role = own == order.end()     ? sender_role::stand_in
+        const sender_role role = own == order.end()     ? sender_role::fallback
                                  : own == order.begin() ? sender_role::owner
-                                                        : sender_role::deputy;
-        forwarding_.cold_starts.note_role(service.id, role, now);
+                                                        : sender_role::standby;
+        forwarding_.cold_starts.update_role(service.id, role, now);
     }
 }
 
@@ -136,8 +136,8 @@
     }
     wanted.engine_memory_tokens = service->engine->memory_tokens;
     const engine_choice choice = choose_engine(forwarding_, wanted, role(wanted.service), now);
-    if (choice.engine && choice.result == admission_verdict::admit) {
-        forwarding_.loads.expect(sender, {work_key(choice.engine->id), wanted.work}, now);
+    if (choice.engine && choice.result == admission_result::admit) {
+        forwarding_.loads.add_expected(sender, {backend_hash(choice.engine->id), wanted.work}, now);
     }
     return make_reply(to_wire(choice));
 }
--- a/bamboostream/src/Gateway/peer_exchange.cpp
+++ b/bamboostream/src/Gateway/peer_exchange.cpp
@@ -53,7 +53,7 @@
     while (true) {
         const std::vector<backend_work_entry> own = forwarding_.loads.own();
         forwarding_.live_instances = membership_.usable_peers().size() + 1;
-        forwarding_.cold_starts.note_instances(forwarding_.live_instances, monotonic_now());
+        forwarding_.cold_starts.update_instance_count(forwarding_.live_instances, monotonic_now());
         owner_scheduler_.update_roles(monotonic_now());
         if (!own.empty() || !reported_none) {
             links_.send_to_each(owner_scheduler_.load_report_recipients(),
@@ -117,7 +117,8 @@
     auto answers = std::make_shared<pending_answers>(context_);
     // Only instances that have reported generations there are asked. Asking every instance costs
     // the product of the number of instances and of leaving engines.
-    const std::vector<std::string> peers = forwarding_.loads.holders(backend, monotonic_now());
+    const std::vector<std::string> peers =
+        forwarding_.loads.peers_reporting(backend, monotonic_now());
     answers->outstanding = peers.size();
     for (const std::string& peer : peers) {
         wire::MovableRequestT request;
--- a/bamboostream/src/Gateway/peer_frames.cpp
+++ b/bamboostream/src/Gateway/peer_frames.cpp
@@ -97,8 +97,8 @@
         if (entry.succeeded > 0 || entry.failed > 0) {
             report.outcomes.emplace_back(entry.backend, entry.succeeded, entry.failed);
         }
-        if (entry.reading_ms > 0) {
-            report.readings.emplace_back(entry.backend, entry.tokens_read, entry.reading_ms);
+        if (entry.prefill_ms > 0) {
+            report.readings.emplace_back(entry.backend, entry.prefill_tokens, entry.prefill_ms);
         }
     }
     return report;
@@ -111,7 +111,7 @@
     out.prompt_tokens = tokens_on_wire(request.work.unread_tokens);
     out.max_tokens = tokens_on_wire(request.work.memory_tokens - request.work.unread_tokens);
     out.objective_ms = age_on_wire(request.objective);
-    out.failure_domain = request.near.text();
+    out.failure_domain = request.preferred_domain.text();
     for (const backend_id& id : request.avoid) {
         out.avoid.push_back(id.text());
     }
@@ -126,7 +126,7 @@
     out.work.unread_tokens = request.prompt_tokens;
     out.work.memory_tokens = std::int64_t{request.prompt_tokens} + request.max_tokens;
     out.objective = milliseconds(request.objective_ms);
-    out.near = failure_domain_id(request.failure_domain);
+    out.preferred_domain = failure_domain_id(request.failure_domain);
     for (const std::string& id : request.avoid) {
         out.avoid.emplace_back(id);
     }
@@ -135,7 +135,7 @@
 
 wire::AdmitReplyT to_wire(const engine_choice& choice) {
     wire::AdmitReplyT out;
-    out.granted = choice.engine && choice.result == admission_verdict::admit;
+    out.granted = choice.engine && choice.result == admission_result::admit;
     out.backend = choice.engine ? choice.engine->id.text() : std::string();
     out.reason = static_cast<std::uint8_t>(choice.result);
     out.requests = tokens_on_wire(choice.work.requests);
@@ -146,9 +146,9 @@
 }
 
 engine_choice from_wire(const wire::AdmitReplyT& reply, const registered_backend& engine) {
-    constexpr auto last = static_cast<std::uint8_t>(admission_verdict::prompts_queued);
+    constexpr auto last = static_cast<std::uint8_t>(admission_result::prompts_queued);
     return {engine,
-            static_cast<admission_verdict>(std::min(reply.reason, last)),
+            static_cast<admission_result>(std::min(reply.reason, last)),
             {static_cast<int>(reply.requests), reply.memory_tokens, reply.unread_tokens},
             milliseconds(reply.overload_ms)};
 }
--- a/bamboostream/src/Gateway/quarantine_persister.h
+++ b/bamboostream/src/Gateway/quarantine_persister.h
@@ -19,11 +19,11 @@
 
 /// Serializes the evidence against one request as a record for the store. Times are wall-clock
 /// times, since the instances that read it may have started later.
-std::string write_evidence(std::span<const harm_evidence> evidence, time_point now,
+std::string write_evidence(std::span<const crash_evidence> evidence, time_point now,
                            std::int64_t wall_now_ms);
 /// Returns nothing when the record can't be parsed.
-std::optional<std::vector<harm_evidence>> read_evidence(const keyed_record& record, time_point now,
-                                                        std::int64_t wall_now_ms);
+std::optional<std::vector<crash_evidence>> read_evidence(const keyed_record& record, time_point now,
+                                                         std::int64_t wall_now_ms);
 
 /// Persists held requests in the platform's store, so that they survive the end of all instances.
 ///
--- /dev/null
+++ b/bamboostream/src/Limits/retry_delay.cpp
@@ -0,0 +1,66 @@
+#include "bamboostream/src/Limits/retry_delay.h"
+
+#include <algorithm>
+
+namespace bamboostream {
+
+namespace {
+
+/// Delay after a transient overload: half the objective, at most doubled by randomization.
+constexpr double transient_fraction = 0.5;
+constexpr double transient_spread = 2.0;
+constexpr milliseconds min_transient_delay{100};
+constexpr milliseconds max_transient_delay{1'000};
+/// Callers honour a retry delay of at most this fraction of their remaining timeout.
+constexpr double max_wait_fraction = 1.0 / 3.0;
+/// Randomization of delays close to the longest that callers honour: a smaller spread leaves more
+/// of it for the delay itself.
+constexpr double long_spread = 1.3;
+/// Delay while the state is unknown: a quarter of the caller's timeout, which `long_spread` raises
+/// to just under the third that callers honour.
+constexpr double outage_fraction = 0.25;
+constexpr milliseconds min_outage_delay{100};
+/// Observed outages of the store last 2 to 9 s; half of them are over by then.
+constexpr milliseconds max_outage_delay{5'000};
+/// Short, since callers send the retry to another address.
+constexpr milliseconds leaving_delay{50};
+
+duration randomize(duration base, double most, std::mt19937_64& random) {
+    return std::chrono::duration_cast<duration>(
+        base * std::uniform_real_distribution<double>(1.0, most)(random));
+}
+
+duration fraction_of(duration whole, double part, milliseconds least, milliseconds most) {
+    const auto wanted = std::chrono::duration_cast<duration>(whole * part);
+    return std::clamp<duration>(wanted, least, most);
+}
+
+} // namespace
+
+duration choose_retry_delay(const refused_request& request, std::mt19937_64& random) {
+    if (request.cause == refusal_cause::leaving) {
+        return leaving_delay;
+    }
+    if (request.cause == refusal_cause::quarantined) {
+        return request.quarantine;
+    }
+    if (request.cause == refusal_cause::state_unknown && request.caller_timeout) {
+        const duration base = fraction_of(*request.caller_timeout, outage_fraction,
+                                          min_outage_delay, max_outage_delay);
+        return randomize(base, long_spread, random);
+    }
+    const duration objective =
+        request.objective > duration{} ? request.objective : duration(2 * max_transient_delay);
+    const duration transient_delay =
+        fraction_of(objective, transient_fraction, min_transient_delay, max_transient_delay);
+    if (request.overload <= transient_delay || !request.caller_timeout) {
+        return randomize(transient_delay, transient_spread, random);
+    }
+    const auto max_accepted =
+        std::chrono::duration_cast<duration>(*request.caller_timeout * max_wait_fraction);
+    const auto latest = std::chrono::duration_cast<duration>(max_accepted / long_spread);
+    return std::min(randomize(request.overload, transient_spread, random),
+                    randomize(std::max(transient_delay, latest), long_spread, random));
+}
+
+} // namespace bamboostream
--- /dev/null
+++ b/bamboostream/src/Limits/retry_delay.h
@@ -0,0 +1,47 @@
+#pragma once
+
+#include "bamboostream/src/Core/clock.h"
+
+#include <cstdint>
+#include <optional>
+#include <random>
+
+namespace bamboostream {
+
+/// Why a request was refused, as far as it affects when a retry makes sense.
+enum class refusal_cause : std::uint8_t {
+    /// Servers exist but have no capacity left, or refused the request.
+    overloaded,
+    /// Routes or servers are unknown: the platform's store is unavailable, and this instance
+    /// started
+    /// after the outage began or knows only servers that have gone.
+    state_unknown,
+    /// This instance is shutting down; others serve.
+    leaving,
+    /// The request is quarantined: servers crashed while they ran earlier attempts at it.
+    quarantined,
+};
+
+/// The properties of a refused request that determine its retry delay.
+struct refused_request {
+    refusal_cause cause = refusal_cause::overloaded;
+    /// Latency objective of the route; zero when no route is known.
+    duration objective{};
+    /// Remaining time that the caller waits; empty when it didn't state a timeout.
+    std::optional<milliseconds> caller_timeout;
+    /// How long requests have been refused for lack of capacity without a pause.
+    duration overload{};
+    /// Remaining quarantine of the request, if that is the cause.
+    duration quarantine{};
+};
+
+/// Returns the time after which a refused caller should retry, randomized so that callers refused
+/// together don't all retry at the same moment.
+///
+/// A transient overload passes within the objective, so its callers retry soon. One that has lasted
+/// longer is expected to last as long again, and outages of a store last seconds: callers that
+/// retry during either are refused a second time and get no response at all. They get a longer
+/// delay, up to a third of their remaining timeout, which is the longest delay that callers honour.
+duration choose_retry_delay(const refused_request& request, std::mt19937_64& random);
+
+} // namespace bamboostream
--- /dev/null
+++ b/bamboostream/src/Routing/outcome_collector.h
@@ -0,0 +1,41 @@
+#pragma once
+
+#include "bamboostream/src/Core/identities.h"
+#include "bamboostream/src/Routing/prefill_rates.h"
+
+#include <cstdint>
+#include <unordered_map>
+#include <vector>
+
+namespace bamboostream {
+
+/// Outcomes of requests at one backend server, and the prefill until their first events.
+struct backend_outcomes {
+    /// The `backend_hash` of the server.
+    std::uint64_t backend = 0;
+    std::uint16_t succeeded = 0;
+    std::uint16_t failed = 0;
+    /// Prompt tokens processed, and the time that this took.
+    std::uint32_t prefill_tokens = 0;
+    std::uint32_t prefill_ms = 0;
+    bool operator==(const backend_outcomes&) const = default;
+};
+
+/// Collects what this instance observes at engines until it is reported to the owners, which choose
+/// engines for all instances. An engine that fails at once looks idle, and an owner sends few
+/// requests itself: without these reports, owners sent such engines the most requests. Not
+/// thread-safe.
+class outcome_collector {
+public:
+    void note(const backend_id& id, bool succeeded);
+    void record_prefill(const backend_id& id, const prefill_sample& sample);
+    /// Returns the outcomes since the last call.
+    std::vector<backend_outcomes> take();
+
+private:
+    backend_outcomes& of(const backend_id& id);
+
+    std::unordered_map<std::uint64_t, backend_outcomes> outcomes_;
+};
+
+} // namespace bamboostream
--- a/bamboostream/src/Routing/service_picker.h
+++ b/bamboostream/src/Routing/service_picker.h
@@ -11,14 +11,15 @@
 
 namespace bamboostream {
 
-/// Chooses a replica of a plain service: of two random ones that are live and not ejected, the one
-/// with fewer calls of this instance in progress; the caller's failure domain breaks ties.
+/// Chooses a replica of a plain service by the power of two choices: of two random replicas that
+/// are live and not ejected, the one with fewer calls of this instance in progress. The caller's
+/// failure domain breaks ties. Not thread-safe.
 class service_picker {
 public:
     explicit service_picker(std::uint64_t seed) : random_(seed) {}
 
     std::optional<backend_id> pick(std::span<const backend_facts> replicas,
-                                   const failure_domain_id& near, time_point now);
+                                   const failure_domain_id& preferred_domain, time_point now);
     void call_started(const backend_id& backend);
     void call_ended(const backend_id& backend, bool reached, std::size_t group_size,
                     time_point now);
--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -80,8 +80,8 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-place_request make_request(std::uint64_t id, const std::string& workspace) {
-    place_request r;
+scheduling_request make_request(std::uint64_t id, const std::string& workspace) {
+    scheduling_request r;
     r.id = id;
     r.workspace = workspace;
     r.prompt_tokens = 200;
@@ -134,12 +134,12 @@
     placement_request request;
     request.server_memory_tokens = 33'000;
     for (const std::uint64_t peers : {10, 100, 300, 1'100}) {
-        load_book loads;
+        load_table loads;
         backend_picker picker(1);
         for (std::uint64_t p = 0; p < peers; ++p) {
             std::vector<backend_work_entry> told;
             for (std::uint64_t e = 0; e < entries_a_peer; ++e) {
-                told.push_back({work_key(all[(p * 7 + e * 19) % engines].id), {1, 3'000, 0}});
+                told.push_back({backend_hash(all[(p * 7 + e * 19) % engines].id), {1, 3'000, 0}});
             }
             loads.hear(fmt::format("10.0.{}.{}:7200", p / 250, p % 250), told, start);
         }
@@ -203,8 +203,8 @@
 }
 
 /// Three engines end one after another under the same requests, as after the loss of three racks.
-std::vector<harm_evidence> evidence_of_bystanders(int requests) {
-    std::vector<harm_evidence> out;
+std::vector<crash_evidence> evidence_of_bystanders(int requests) {
+    std::vector<crash_evidence> out;
     for (std::uint64_t server = 0; server < 3; ++server) {
         for (int i = 0; i < requests; ++i) {
             const auto number = static_cast<std::uint64_t>(i);
@@ -222,11 +222,11 @@
 slope quarantine_report() {
     slope out{"quarantine_report", "us", "request on three servers that ended", {}, {}};
     for (const int requests : {100, 400, 1'600}) {
-        const std::vector<harm_evidence> report = evidence_of_bystanders(requests);
+        const std::vector<crash_evidence> report = evidence_of_bystanders(requests);
         out.sizes.push_back(requests);
         out.values.push_back(best_us(5, [&] {
             request_quarantine quarantine;
-            quarantine.note(report, start + seconds(2));
+            quarantine.add_evidence(report, start + seconds(2));
         }));
     }
     return out;
@@ -462,9 +462,9 @@
     slope out{"lengths_memory", "bytes", "subject", {}, {}};
     for (const int subjects : {100, 1'000, 7'000}) {
         const double before = heap_bytes();
-        length_book book;
+        length_estimator book;
         for (int i = 0; i < subjects; ++i) {
-            book.finished(book.key({fmt::format("w{}", i), "m", "k"}), 100);
+            book.record_end(book.key({fmt::format("w{}", i), "m", "k"}), 100);
         }
         out.sizes.push_back(subjects);
         out.values.push_back(heap_bytes() - before);
--- a/docs/examples/hold_back.cpp
+++ b/docs/examples/hold_back.cpp
@@ -1,4 +1,5 @@
-// How much of a crowd an engine takes before its memory is predicted to overflow.
+// Submits 100 requests and prints how many are scheduled before the predicted memory of the engine
+// is full.
 
 #include "bamboostream/Limits"
 
@@ -14,7 +15,7 @@
     report.max_running = 64;
     scheduler.on_report("127.0.0.1:1", report, now);
     for (std::uint64_t id = 1; id <= 100; ++id) {
-        place_request request;
+        scheduling_request request;
         request.id = id;
         request.workspace = "desk";
         request.prompt_tokens = 200;
--- a/test/platform/owner_scheduler_test.cpp
+++ b/test/platform/owner_scheduler_test.cpp
@@ -43,7 +43,7 @@
         out.service = service_id("s");
         out.work = {1, 9'000, 3'000};
         out.objective = milliseconds(1'500);
-        out.near = failure_domain_id("norra");
+        out.preferred_domain = failure_domain_id("norra");
         return out;
     }
     std::optional<engine_choice> ask(peer_instance& from, const engine_request& wanted) {
@@ -83,7 +83,7 @@
     for (int i = 0; i < engine_count / 2; ++i) {
         const auto choice = ask(i % 2 == 0 ? asker() : *order_[3], request());
         ASSERT_TRUE(choice && choice->engine);
-        EXPECT_EQ(choice->result, admission_verdict::admit);
+        EXPECT_EQ(choice->result, admission_result::admit);
         EXPECT_TRUE(given.insert(choice->engine->id.text()).second);
     }
     EXPECT_EQ(asked(owner()), engine_count / 2);
@@ -96,7 +96,7 @@
     ASSERT_TRUE(choice && choice->engine);
     const backend_id& id = choice->engine->id;
     EXPECT_EQ(owner().forwarding.loads.total(id, monotonic_now()).memory_tokens, 9'000);
-    const std::vector<backend_work_entry> told = {{work_key(id), {1, 9'100, 0}}};
+    const std::vector<backend_work_entry> told = {{backend_hash(id), {1, 9'100, 0}}};
     owner().forwarding.loads.hear(asker().address(), told, monotonic_now());
     EXPECT_EQ(owner().forwarding.loads.total(id, monotonic_now()).memory_tokens, 9'100);
 }
@@ -108,7 +108,7 @@
     }
     const auto choice = ask(asker(), request());
     ASSERT_TRUE(choice && choice->engine);
-    EXPECT_EQ(choice->result, admission_verdict::memory_full);
+    EXPECT_EQ(choice->result, admission_result::memory_full);
 }
 
 // The owner is gone and its death not known yet. The deputy answers, and the next request doesn't
@@ -157,7 +157,7 @@
             configuration.services.front().cold_per_second = 4.0;
             it->forwarding.routes = std::make_shared<const route_table>(configuration);
             it->forwarding.cold_starts.set_rules(cold_start_rules{1.0, 0.0});
-            it->forwarding.cold_starts.note_instances(group_.all.size(), settled);
+            it->forwarding.cold_starts.update_instance_count(group_.all.size(), settled);
             it->owner->update_roles(settled);
         }
     }
@@ -196,7 +196,7 @@
     int placed = 0;
     for (int i = 0; i < 3 * engine_count; ++i) {
         const auto choice = ask(asker(), request());
-        placed += choice && choice->engine && choice->result == admission_verdict::admit ? 1 : 0;
+        placed += choice && choice->engine && choice->result == admission_result::admit ? 1 : 0;
     }
     EXPECT_EQ(placed, 2 * engine_count);
 }
@@ -232,12 +232,12 @@
 TEST_F(owner_scheduler_test, reading_is_told_to_the_owner) {
     const backend_id slow("i-3");
     for (int i = 0; i < 30; ++i) {
-        asker().forwarding.engine_outcomes.note_reading(slow, {3'000.0, 3'000.0});
+        asker().forwarding.engine_outcomes.record_prefill(slow, {3'000.0, 3'000.0});
         owner().owner->hear(to_wire({}, asker().forwarding.engine_outcomes.take()),
                             asker().address());
     }
-    const reading_rates& rates = owner().forwarding.prefill;
-    EXPECT_LT(rates.tokens_a_ms(service_id("s"), work_key(slow)), 2.0);
+    const prefill_rates& rates = owner().forwarding.prefill;
+    EXPECT_LT(rates.tokens_per_ms(service_id("s"), backend_hash(slow)), 2.0);
 }
 
 // Work is told to the owner and its deputy only, and by these to each other.
--- a/test/platform/placement_load_test.cpp
+++ b/test/platform/placement_load_test.cpp
@@ -78,7 +78,7 @@
 
     struct instance {
         explicit instance(std::uint64_t seed) : picker(seed) {}
-        load_book loads;
+        load_table loads;
         backend_picker picker;
     };
     struct event {
@@ -98,14 +98,14 @@
         const auto i = std::uniform_int_distribution<std::size_t>(0, how_.instances - 1)(random_);
         instance& here = *instances_[i];
         placement_request request;
-        request.near = failure_domain_id("norra");
+        request.preferred_domain = failure_domain_id("norra");
         request.server_memory_tokens = 22'000;
         const backend_work work{1, 3'700, prompt_tokens};
         instance& decides = how_.who == chooser::owner ? owner_ : here;
         const registered_backend* engine =
             decides.picker.pick(views_, decides.loads, request, now_);
         if (how_.who == chooser::owner) {
-            owner_.loads.expect(std::to_string(i), {work_key(engine->id), work}, now_);
+            owner_.loads.add_expected(std::to_string(i), {backend_hash(engine->id), work}, now_);
         }
         here.loads.add(engine->id, work);
         changed(i);
