--- a/bamboostream/src/Configuration/configuration_state.cpp
+++ b/bamboostream/src/Configuration/configuration_state.cpp
@@ -89,13 +89,13 @@
                                                wall_time time) {
     submission_verdict verdict;
     verdict.version = version_;
-    std::vector<json_mistake> mistakes;
-    const auto submission = parse_submission(record, mistakes);
+    std::vector<validation_error> errors;
+    const auto submission = parse_submission(record, errors);
     verdict.id = text_at(record, "id");
     if (!submission) {
         verdict.fate = submission_fate::invalid;
-        for (const json_mistake& mistake : mistakes) {
-            verdict.reasons.push_back(to_string(mistake));
+        for (const validation_error& error : errors) {
+            verdict.reasons.push_back(to_string(error));
         }
         return verdict;
     }
@@ -131,11 +131,11 @@
         verdict.fate = submission_fate::conflict;
         return verdict;
     }
-    auto document = validate_document(assemble(next), mistakes);
+    auto document = validate_document(assemble(next), errors);
     if (!document) {
         verdict.fate = submission_fate::invalid;
-        for (const json_mistake& mistake : mistakes) {
-            verdict.reasons.push_back(to_string(mistake));
+        for (const validation_error& error : errors) {
+            verdict.reasons.push_back(to_string(error));
         }
         return verdict;
     }
@@ -206,8 +206,8 @@
         }
         next[name] = {number_at(item.value(), "version"), *value};
     }
-    std::vector<json_mistake> mistakes;
-    auto document = validate_document(assemble(next), mistakes);
+    std::vector<validation_error> errors;
+    auto document = validate_document(assemble(next), errors);
     if (!document) {
         return false;
     }
@@ -318,24 +318,24 @@
 }
 
 std::optional<configuration_submission> parse_submission(const json::value& value,
-                                                         std::vector<json_mistake>& mistakes) {
-    const std::size_t before = mistakes.size();
+                                                         std::vector<validation_error>& errors) {
+    const std::size_t before = errors.size();
     configuration_submission out;
-    json_reader r(value, "", mistakes);
+    json_reader r(value, "", errors);
     r.text_or("kind", "submission");
     out.id = r.text("id");
     out.base = r.number("base", 0, INT64_MAX);
     out.author = r.text_or("author", "");
     const json::array* changes = r.array_or_none("changes");
     if (changes == nullptr || changes->empty()) {
-        r.mistake("changes", "nothing", "at least one change");
+        r.error("changes", "nothing", "at least one change");
     } else {
         for (std::size_t i = 0; i < changes->size(); ++i) {
             const json::value& change = (*changes)[i];
             const std::string entry = text_at(change, "entry");
             if (!split_entry(entry)) {
-                r.mistake("changes/" + std::to_string(i) + "/entry", entry,
-                          "workspaces/…, pools/…, services/…, resume_keys/… or cordons/…");
+                r.error("changes/" + std::to_string(i) + "/entry", entry,
+                        "workspaces/…, pools/…, services/…, resume_keys/… or cordons/…");
                 continue;
             }
             const json::value* entry_value = change.get_object().if_contains("value");
@@ -343,7 +343,7 @@
         }
     }
     r.finish();
-    return mistakes.size() == before ? std::optional(std::move(out)) : std::nullopt;
+    return errors.size() == before ? std::optional(std::move(out)) : std::nullopt;
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Configuration/configuration_state.h
+++ b/bamboostream/src/Configuration/configuration_state.h
@@ -119,6 +119,6 @@
 
 /// Reads a submission in its JSON form; nothing with mistakes when malformed.
 std::optional<configuration_submission> parse_submission(const boost::json::value& value,
-                                                         std::vector<json_mistake>& mistakes);
+                                                         std::vector<validation_error>& errors);
 
 } // namespace bamboostream
--- a/bamboostream/src/Configuration/document.h
+++ b/bamboostream/src/Configuration/document.h
@@ -107,7 +107,7 @@
 /// what would be right; the result is empty when there is any. The one validator of all paths:
 /// command line, console, submission, and records read from the log.
 std::optional<configuration_document> validate_document(const boost::json::value& document,
-                                                        std::vector<json_mistake>& mistakes);
+                                                        std::vector<validation_error>& errors);
 
 /// Name of a priority, and back.
 std::string_view to_string(priority_level level);
--- a/bamboostream/src/Contracts/json_reader.cpp
+++ b/bamboostream/src/Contracts/json_reader.cpp
@@ -31,8 +31,8 @@
 
 } // namespace
 
-std::string to_string(const json_mistake& mistake) {
-    return fmt::format("{}: found {}, expected {}", mistake.path, mistake.found, mistake.expected);
+std::string to_string(const validation_error& error) {
+    return fmt::format("{}: found {}, expected {}", error.path, error.found, error.expected);
 }
 
 std::optional<boost::json::value> parse_json(std::string_view text, std::string& why,
@@ -50,10 +50,10 @@
 }
 
 json_reader::json_reader(const boost::json::value& value, std::string path,
-                         std::vector<json_mistake>& mistakes)
-    : object_(value.if_object()), path_(std::move(path)), mistakes_(&mistakes) {
+                         std::vector<validation_error>& errors)
+    : object_(value.if_object()), path_(std::move(path)), errors_(&errors) {
     if (object_ == nullptr) {
-        mistakes_->push_back({path_.empty() ? "(document)" : path_, quote(value), "an object"});
+        errors_->push_back({path_.empty() ? "(document)" : path_, quote(value), "an object"});
     }
 }
 
@@ -61,8 +61,8 @@
     return path_.empty() ? std::string(name) : fmt::format("{}/{}", path_, name);
 }
 
-void json_reader::mistake(std::string_view name, std::string found, std::string expected) {
-    mistakes_->push_back({path_of(name), std::move(found), std::move(expected)});
+void json_reader::error(std::string_view name, std::string found, std::string expected) {
+    errors_->push_back({path_of(name), std::move(found), std::move(expected)});
 }
 
 const boost::json::value* json_reader::child(std::string_view name) {
@@ -76,7 +76,7 @@
         return std::string(value->get_string());
     }
     if (object_ != nullptr) {
-        mistake(name, value == nullptr ? "nothing" : quote(*value), "a text that isn't empty");
+        error(name, value == nullptr ? "nothing" : quote(*value), "a text that isn't empty");
     }
     return {};
 }
@@ -89,7 +89,7 @@
     if (value->is_string()) {
         return std::string(value->get_string());
     }
-    mistake(name, quote(*value), "a text");
+    error(name, quote(*value), "a text");
     return std::string(otherwise);
 }
 
@@ -97,14 +97,14 @@
     const boost::json::value* value = child(name);
     if (value == nullptr) {
         if (object_ != nullptr) {
-            mistake(name, "nothing", fmt::format("a whole number from {} to {}", least, most));
+            error(name, "nothing", fmt::format("a whole number from {} to {}", least, most));
         }
         return least;
     }
     boost::json::error_code ec;
     const auto parsed = value->is_number() ? value->to_number<std::int64_t>(ec) : least - 1;
     if (ec || !value->is_number() || parsed < least || parsed > most) {
-        mistake(name, quote(*value), fmt::format("a whole number from {} to {}", least, most));
+        error(name, quote(*value), fmt::format("a whole number from {} to {}", least, most));
         return least;
     }
     return parsed;
@@ -126,7 +126,7 @@
     }
     const std::optional<double> parsed = as_real(*value);
     if (!parsed || *parsed < least || *parsed > most) {
-        mistake(name, quote(*value), fmt::format("a number from {} to {}", least, most));
+        error(name, quote(*value), fmt::format("a number from {} to {}", least, most));
         return otherwise;
     }
     return *parsed;
@@ -138,7 +138,7 @@
         return otherwise;
     }
     if (!value->is_bool()) {
-        mistake(name, quote(*value), "true or false");
+        error(name, quote(*value), "true or false");
         return otherwise;
     }
     return value->get_bool();
@@ -147,7 +147,7 @@
 const boost::json::object* json_reader::object_or_none(std::string_view name) {
     const boost::json::value* value = child(name);
     if (value != nullptr && !value->is_object()) {
-        mistake(name, quote(*value), "an object");
+        error(name, quote(*value), "an object");
     }
     return value == nullptr ? nullptr : value->if_object();
 }
@@ -155,7 +155,7 @@
 const boost::json::array* json_reader::array_or_none(std::string_view name) {
     const boost::json::value* value = child(name);
     if (value != nullptr && !value->is_array()) {
-        mistake(name, quote(*value), "an array");
+        error(name, quote(*value), "an array");
     }
     return value == nullptr ? nullptr : value->if_array();
 }
@@ -167,7 +167,7 @@
     for (const auto& member : *object_) {
         const std::string_view name(member.key().data(), member.key().size());
         if (std::find(asked_.begin(), asked_.end(), name) == asked_.end()) {
-            mistake(name, quote(member.value()), "no such field");
+            error(name, quote(member.value()), "no such field");
         }
     }
 }
--- a/bamboostream/src/Contracts/json_reader.h
+++ b/bamboostream/src/Contracts/json_reader.h
@@ -10,7 +10,7 @@
 namespace bamboostream {
 
 /// One mistake in a JSON document: where, what was found, and what would be right.
-struct json_mistake {
+struct validation_error {
     /// Path such as "workspaces/acme/weight".
     std::string path;
     std::string found;
@@ -18,7 +18,7 @@
 };
 
 /// Text of one mistake for a person.
-std::string to_string(const json_mistake& mistake);
+std::string to_string(const validation_error& error);
 
 /// The document behind `text`, or nothing with the parser's reason. `storage` keeps it; a large
 /// document that is read once and dropped takes less time in a resource that frees all at once.
@@ -28,11 +28,11 @@
 /// Reads the fields of one JSON object, collecting every mistake instead of stopping at the first.
 /// Fields never asked for are mistakes too once `finish` is called.
 ///
-/// Example: `json_reader r(value, "", mistakes); auto m = r.text("model"); r.finish();`
+/// Example: `json_reader r(value, "", errors); auto m = r.text("model"); r.finish();`
 class json_reader {
 public:
     json_reader(const boost::json::value& value, std::string path,
-                std::vector<json_mistake>& mistakes);
+                std::vector<validation_error>& errors);
 
     /// A required text that isn't empty.
     std::string text(std::string_view name);
@@ -49,7 +49,7 @@
     /// An array child's elements, none when absent.
     const boost::json::array* array_or_none(std::string_view name);
     /// Reports a mistake at a field.
-    void mistake(std::string_view name, std::string found, std::string expected);
+    void error(std::string_view name, std::string found, std::string expected);
     /// Reports fields that were never asked for.
     void finish();
     bool is_object() const { return object_ != nullptr; }
@@ -58,7 +58,7 @@
 private:
     const boost::json::object* object_ = nullptr;
     std::string path_;
-    std::vector<json_mistake>* mistakes_;
+    std::vector<validation_error>* errors_;
     std::vector<std::string> asked_;
 };
 
--- a/bamboostream/src/Core/settings.cpp
+++ b/bamboostream/src/Core/settings.cpp
@@ -112,9 +112,9 @@
                            std::int64_t least, std::int64_t most) {
     auto assign = [=](const std::string& given) {
         std::int64_t count = value->count();
-        std::string mistake = assign_in_range(given, least, most, count);
+        std::string error = assign_in_range(given, least, most, count);
         *value = milliseconds(count);
-        return mistake;
+        return error;
     };
     add(std::move(name), std::move(help), std::to_string(value->count()), assign);
 }
@@ -152,25 +152,25 @@
     rules_.push_back(std::move(rule));
 }
 
-void settings::collect_mistakes(std::vector<std::string>& mistakes) const {
+void settings::collect_errors(std::vector<std::string>& errors) const {
     for (const auto& entry : entries_) {
         const std::string label = entry->is_positional ? entry->name : "--" + entry->name;
         if (entry->required && entry->given.empty()) {
-            mistakes.push_back(fmt::format("{}: is required", label));
+            errors.push_back(fmt::format("{}: is required", label));
             continue;
         }
-        const std::string mistake = entry->assign(entry->given);
-        if (!mistake.empty()) {
-            mistakes.push_back(fmt::format("{}: '{}' {}", label, entry->given, mistake));
+        const std::string error = entry->assign(entry->given);
+        if (!error.empty()) {
+            errors.push_back(fmt::format("{}: '{}' {}", label, entry->given, error));
         }
     }
-    if (!mistakes.empty()) {
+    if (!errors.empty()) {
         return;
     }
     for (const auto& rule : rules_) {
-        std::string mistake = rule();
-        if (!mistake.empty()) {
-            mistakes.push_back(std::move(mistake));
+        std::string error = rule();
+        if (!error.empty()) {
+            errors.push_back(std::move(error));
         }
     }
 }
@@ -197,25 +197,25 @@
             ->envname(environment_name(entry->name))
             ->capture_default_str();
     }
-    std::vector<std::string> mistakes;
+    std::vector<std::string> errors;
     try {
         app.parse(argc, argv);
     } catch (const CLI::Success& done) {
         exit_code_ = app.exit(done);
         return settings_outcome::exit_ok;
     } catch (const CLI::ParseError& error) {
-        mistakes.emplace_back(error.what());
+        errors.emplace_back(error.what());
     }
     for (const auto& entry : entries_) {
         if (entry->is_flag && entry->flag_given) {
             entry->given = "1";
         }
     }
-    collect_mistakes(mistakes);
-    if (!mistakes.empty()) {
-        fmt::print(stderr, "{}: {} mistake(s) in the settings:\n", program_, mistakes.size());
-        for (const std::string& mistake : mistakes) {
-            fmt::print(stderr, "  {}\n", mistake);
+    collect_errors(errors);
+    if (!errors.empty()) {
+        fmt::print(stderr, "{}: {} mistake(s) in the settings:\n", program_, errors.size());
+        for (const std::string& error : errors) {
+            fmt::print(stderr, "  {}\n", error);
         }
         exit_code_ = exit_code_bad_settings;
         return settings_outcome::exit_bad_settings;
--- a/bamboostream/src/Core/settings.h
+++ b/bamboostream/src/Core/settings.h
@@ -68,7 +68,7 @@
     struct entry;
     entry& add(std::string name, std::string help, std::string initial,
                std::function<std::string(const std::string&)> assign);
-    void collect_mistakes(std::vector<std::string>& mistakes) const;
+    void collect_errors(std::vector<std::string>& errors) const;
 
     std::string program_;
     std::string purpose_;
--- a/bamboostream/src/Entry/completion_handler.cpp
+++ b/bamboostream/src/Entry/completion_handler.cpp
@@ -53,7 +53,7 @@
         return false;
     }
     workspace_ = *owner;
-    auto read = read_completion(exchange_.request(), problem.mistakes);
+    auto read = read_completion(exchange_.request(), problem.errors);
     if (!read) {
         problem.status = 400;
         problem.code = "invalid_request";
--- a/bamboostream/src/Entry/completion_request.cpp
+++ b/bamboostream/src/Entry/completion_request.cpp
@@ -25,14 +25,14 @@
             return *parsed;
         }
     }
-    r.mistake("priority", boost::json::serialize(*value), "batch, standard or urgent");
+    r.error("priority", boost::json::serialize(*value), "batch, standard or urgent");
     return priority_level::standard;
 }
 
 on_loss read_on_loss(json_reader& r) {
     const std::string word = r.text_or("on_loss", "incomplete");
     if (word != "incomplete" && word != "restart") {
-        r.mistake("on_loss", word, "incomplete or restart");
+        r.error("on_loss", word, "incomplete or restart");
     }
     return word == "restart" ? on_loss::restart : on_loss::incomplete;
 }
@@ -40,15 +40,15 @@
 } // namespace
 
 std::optional<completion_request> read_completion(const http_request& request,
-                                                  std::vector<json_mistake>& mistakes) {
+                                                  std::vector<validation_error>& errors) {
     std::string why;
     const auto body = parse_json(request.body, why);
     if (!body) {
-        mistakes.push_back({"(body)", "malformed JSON", why});
+        errors.push_back({"(body)", "malformed JSON", why});
         return std::nullopt;
     }
     completion_request out;
-    json_reader r(*body, "", mistakes);
+    json_reader r(*body, "", errors);
     out.model = r.text("model");
     out.prompt = r.text("prompt");
     out.max_tokens = static_cast<std::uint32_t>(r.number_or("max_tokens", 0, 0, most_tokens));
@@ -61,16 +61,16 @@
     out.loss = read_on_loss(r);
     out.kind = r.text_or("kind", "");
     if (out.kind.size() > longest_kind) {
-        r.mistake("kind", std::to_string(out.kind.size()) + " characters", "at most 64");
+        r.error("kind", std::to_string(out.kind.size()) + " characters", "at most 64");
     }
     out.deadline = milliseconds(r.number_or("deadline_ms", 0, 0, longest_deadline_ms));
     r.finish();
     out.key = std::string(request.field("Idempotency-Key"));
     if (!out.key.empty() && !is_usable_key(out.key)) {
-        r.mistake("Idempotency-Key", "an unusable key", "at most 200 printable characters");
+        r.error("Idempotency-Key", "an unusable key", "at most 200 printable characters");
     }
     out.prefix = stable_hash(std::string_view(out.prompt).substr(0, prefix_characters));
-    if (!mistakes.empty()) {
+    if (!errors.empty()) {
         return std::nullopt;
     }
     return out;
--- a/bamboostream/src/Entry/completion_request.h
+++ b/bamboostream/src/Entry/completion_request.h
@@ -35,6 +35,6 @@
 
 /// Reads a request; nothing with every mistake when it is malformed.
 std::optional<completion_request> read_completion(const http_request& request,
-                                                  std::vector<json_mistake>& mistakes);
+                                                  std::vector<validation_error>& errors);
 
 } // namespace bamboostream
--- a/bamboostream/src/Entry/error_answer.cpp
+++ b/bamboostream/src/Entry/error_answer.cpp
@@ -29,9 +29,9 @@
     if (error.come_back_in.count() > 0) {
         body["come_back_in_ms"] = error.come_back_in.count();
     }
-    if (!error.mistakes.empty()) {
+    if (!error.errors.empty()) {
         boost::json::array details;
-        for (const json_mistake& mistake : error.mistakes) {
+        for (const validation_error& mistake : error.errors) {
             details.push_back(boost::json::object{
                 {"path", mistake.path}, {"found", mistake.found}, {"expected", mistake.expected}});
         }
--- a/bamboostream/src/Entry/error_answer.h
+++ b/bamboostream/src/Entry/error_answer.h
@@ -21,7 +21,7 @@
     std::string_view outcome;
     /// When to come back; zero when coming back is of no use.
     milliseconds come_back_in{0};
-    std::vector<json_mistake> mistakes;
+    std::vector<validation_error> errors;
 };
 
 /// An error of which nothing but code and message is to be said.
--- a/bamboostream/src/Entry/operator_handler.cpp
+++ b/bamboostream/src/Entry/operator_handler.cpp
@@ -200,14 +200,14 @@
     std::string why;
     auto value = parse_json(exchange.request().body, why);
     if (!value || !value->is_object()) {
-        problem.mistakes.push_back({"(body)", "malformed JSON", why});
+        problem.errors.push_back({"(body)", "malformed JSON", why});
         co_await respond_error(exchange, problem);
         co_return;
     }
     if (!value->get_object().contains("id")) {
         value->get_object()["id"] = random_id();
     }
-    auto submission = parse_submission(*value, problem.mistakes);
+    auto submission = parse_submission(*value, problem.errors);
     if (!submission) {
         co_await respond_error(exchange, problem);
         co_return;
@@ -236,20 +236,20 @@
 
 asio::awaitable<void> operator_handler::validate_configuration(http_exchange& exchange) const {
     std::string why;
-    std::vector<json_mistake> mistakes;
+    std::vector<validation_error> errors;
     auto value = parse_json(exchange.request().body, why);
     if (!value) {
-        mistakes.push_back({"(body)", "malformed JSON", why});
+        errors.push_back({"(body)", "malformed JSON", why});
     } else {
         restore_secrets(*value, *core_.configuration->document());
-        validate_document(*value, mistakes);
+        validate_document(*value, errors);
     }
     error_answer answer;
     answer.status = 422;
     answer.code = "invalid_configuration";
     answer.message = "the document has mistakes";
-    answer.mistakes = std::move(mistakes);
-    if (answer.mistakes.empty()) {
+    answer.errors = std::move(errors);
+    if (answer.errors.empty()) {
         co_await exchange.respond_json(200, R"({"valid":true})");
     } else {
         co_await respond_error(exchange, answer);
--- a/programs/bamboostreamctl.cpp
+++ b/programs/bamboostreamctl.cpp
@@ -70,13 +70,13 @@
         if (!document) {
             return fail(why);
         }
-        std::vector<json_mistake> mistakes;
-        validate_document(*document, mistakes);
-        for (const json_mistake& mistake : mistakes) {
+        std::vector<validation_error> errors;
+        validate_document(*document, errors);
+        for (const validation_error& mistake : errors) {
             fmt::print("{}\n", to_string(mistake));
         }
-        fmt::print("{}\n", mistakes.empty() ? "valid" : "not valid");
-        return mistakes.empty() ? exit_code_ok : exit_code_failed;
+        fmt::print("{}\n", errors.empty() ? "valid" : "not valid");
+        return errors.empty() ? exit_code_ok : exit_code_failed;
     }
 
     int config_submit() const {
--- a/programs/ctl/slo_report.cpp
+++ b/programs/ctl/slo_report.cpp
@@ -85,7 +85,7 @@
 }
 
 double target_of(const json::value& document, const pair_key& key) {
-    std::vector<json_mistake> ignored;
+    std::vector<validation_error> ignored;
     const auto parse = [&](std::string_view section, const std::string& name) {
         const json::value* found = document.as_object().if_contains(section);
         const json::value* entry = found != nullptr && found->is_object()
--- a/test/configuration_test.cpp
+++ b/test/configuration_test.cpp
@@ -157,10 +157,10 @@
 class validation_test : public testing::TestWithParam<bad_document> {};
 
 TEST_P(validation_test, mistake_is_reported_with_its_path) {
-    std::vector<json_mistake> mistakes;
-    EXPECT_FALSE(validate_document(json::parse(GetParam().text), mistakes).has_value());
-    ASSERT_FALSE(mistakes.empty());
-    EXPECT_EQ(mistakes[0].path, GetParam().path);
+    std::vector<validation_error> errors;
+    EXPECT_FALSE(validate_document(json::parse(GetParam().text), errors).has_value());
+    ASSERT_FALSE(errors.empty());
+    EXPECT_EQ(errors[0].path, GetParam().path);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -186,10 +186,9 @@
     [](const auto& info) { return std::string(info.param.name); });
 
 TEST(validation_test_all, every_mistake_is_reported) {
-    std::vector<json_mistake> mistakes;
-    validate_document(json::parse(R"({"workspaces":{"a":{"weight":0}},"pools":{"p":{}}})"),
-                      mistakes);
-    EXPECT_EQ(mistakes.size(), 2U);
+    std::vector<validation_error> errors;
+    validate_document(json::parse(R"({"workspaces":{"a":{"weight":0}},"pools":{"p":{}}})"), errors);
+    EXPECT_EQ(errors.size(), 2U);
 }
 
 // An operator submits the document from version control while a failure domain is out of service.
@@ -209,8 +208,8 @@
         std::ifstream file(std::string(SOURCE_DIR "/examples/") + name + ".json");
         const std::string text((std::istreambuf_iterator<char>(file)),
                                std::istreambuf_iterator<char>());
-        std::vector<json_mistake> mistakes;
-        EXPECT_TRUE(validate_document(json::parse(text), mistakes).has_value()) << name;
+        std::vector<validation_error> errors;
+        EXPECT_TRUE(validate_document(json::parse(text), errors).has_value()) << name;
     }
 }
 
--- a/test/fuzz/input_fuzz.cpp
+++ b/test/fuzz/input_fuzz.cpp
@@ -44,9 +44,9 @@
 
 void fuzz_document(std::string_view bytes) {
     std::string why;
-    std::vector<json_mistake> mistakes;
+    std::vector<validation_error> errors;
     if (const auto value = parse_json(bytes, why)) {
-        validate_document(*value, mistakes);
+        validate_document(*value, errors);
     }
 }
 
--- a/test/platform/translation_test.cpp
+++ b/test/platform/translation_test.cpp
@@ -164,8 +164,8 @@
                                   "platform.address=1.2.3.9:7\nsomething.new=1\n";
 
 TEST(settings_file_test, reads_what_it_knows) {
-    std::vector<std::string> mistakes;
-    const auto s = parse_settings(good_settings, mistakes);
+    std::vector<std::string> errors;
+    const auto s = parse_settings(good_settings, errors);
     ASSERT_TRUE(s);
     EXPECT_EQ(s->gateway.seeds.size(), 2u);
     EXPECT_EQ(s->gateway.grace, milliseconds(8'000));
@@ -174,32 +174,32 @@
 }
 
 TEST(settings_file_test, reads_the_size_of_the_machine_where_it_is_stated) {
-    std::vector<std::string> mistakes;
-    EXPECT_EQ(parse_settings(good_settings, mistakes)->gateway.capacity, 0u);
+    std::vector<std::string> errors;
+    EXPECT_EQ(parse_settings(good_settings, errors)->gateway.capacity, 0u);
     const auto s =
-        parse_settings(good_settings + "limits.cpu_share=0.12\nlimits.cores=2\n", mistakes);
+        parse_settings(good_settings + "limits.cpu_share=0.12\nlimits.cores=2\n", errors);
     ASSERT_TRUE(s);
     EXPECT_EQ(s->gateway.capacity, 240u);
-    EXPECT_FALSE(parse_settings(good_settings + "limits.cpu_share=much\n", mistakes));
+    EXPECT_FALSE(parse_settings(good_settings + "limits.cpu_share=much\n", errors));
 }
 
 TEST(settings_file_test, reads_bounds_where_they_are_stated) {
-    std::vector<std::string> mistakes;
-    EXPECT_FALSE(parse_settings(good_settings, mistakes)->gateway.leaving_bound);
+    std::vector<std::string> errors;
+    EXPECT_FALSE(parse_settings(good_settings, errors)->gateway.leaving_bound);
     const auto s = parse_settings(
-        good_settings + "bounds.drain_ms=3000\nbounds.config_apply_ms=2000\n", mistakes);
+        good_settings + "bounds.drain_ms=3000\nbounds.config_apply_ms=2000\n", errors);
     ASSERT_TRUE(s);
     EXPECT_EQ(s->gateway.leaving_bound, milliseconds(3'000));
     EXPECT_EQ(s->gateway.configuration_bound, milliseconds(2'000));
-    EXPECT_FALSE(parse_settings(good_settings + "bounds.drain_ms=soon\n", mistakes));
+    EXPECT_FALSE(parse_settings(good_settings + "bounds.drain_ms=soon\n", errors));
 }
 
 TEST(settings_file_test, names_all_mistakes_at_once) {
-    std::vector<std::string> mistakes;
-    EXPECT_FALSE(parse_settings("listen.front=nonsense\nbounds.grace_s=-3\nseeds=x\n", mistakes));
+    std::vector<std::string> errors;
+    EXPECT_FALSE(parse_settings("listen.front=nonsense\nbounds.grace_s=-3\nseeds=x\n", errors));
     for (const char* name :
          {"listen.front", "bounds.grace_s", "seeds", "zone", "platform.address"}) {
-        EXPECT_TRUE(std::any_of(mistakes.begin(), mistakes.end(), [&](const std::string& m) {
+        EXPECT_TRUE(std::any_of(errors.begin(), errors.end(), [&](const std::string& m) {
             return m.starts_with(name);
         })) << name;
     }
