--- a/bamboostream/src/Forwarding/backend_contract.h
+++ b/bamboostream/src/Forwarding/backend_contract.h
@@ -2,7 +2,7 @@
 
 #include "bamboostream/src/Core/failure.h"
 #include "bamboostream/src/Forwarding/forward_request.h"
-#include "bamboostream/src/Http/http_channel.h"
+#include "bamboostream/src/Http/http_connection.h"
 #include "bamboostream/src/Http/http_server.h"
 
 #include <boost/asio/awaitable.hpp>
@@ -23,10 +23,10 @@
     /// The bytes of the request as the backend server gets it.
     virtual std::string write_request(const http_request& request,
                                       const forward_send& send) const = 0;
-    virtual answer_facts read_answer(const http_channel& answer,
+    virtual answer_facts read_answer(const http_connection& answer,
                                      const forward_request& request) const = 0;
     /// The fields of the answer that go on to the caller.
-    virtual std::vector<http_field> answer_fields(const http_channel& answer) const = 0;
+    virtual std::vector<http_field> answer_fields(const http_connection& answer) const = 0;
 };
 
 /// What came of moving a generation.
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -78,20 +78,20 @@
     }
 }
 
-asio::awaitable<bool> forwarded_call::open_channel(const registered_backend& backend) {
+asio::awaitable<bool> forwarded_call::open_connection(const registered_backend& backend) {
     const time_point now = monotonic_now();
     const bool once = route_->repeats == repeat_rule::once;
-    channel_ = state_.channels.take(
+    connection_ = state_.connections.take(
         backend.address, once ? duration(most_idle_for_once) : duration(most_idle_for_repeatable),
         now);
-    if (channel_) {
+    if (connection_) {
         co_return true;
     }
     ++state_.counters.new_connections;
-    channel_ = std::make_shared<http_channel>(exchange_.executor());
+    connection_ = std::make_shared<http_connection>(exchange_.executor());
     http_failure why;
     const auto left = std::chrono::duration_cast<milliseconds>(deadline_ - now);
-    co_return co_await channel_->connect(backend.address, std::min(connect_timeout, left), why);
+    co_return co_await connection_->connect(backend.address, std::min(connect_timeout, left), why);
 }
 
 time_point forwarded_call::attempt_limit() const {
@@ -126,7 +126,7 @@
 asio::awaitable<std::optional<attempt_end>> forwarded_call::attempt(const destination& to) {
     log_send(to);
     enter_work(to.backend.id);
-    if (!co_await open_channel(to.backend)) {
+    if (!co_await open_connection(to.backend)) {
         co_return fail(to, attempt_end::not_sent, "no connection");
     }
     const time_point now = monotonic_now();
@@ -145,10 +145,10 @@
     send.time_left = std::chrono::duration_cast<milliseconds>(deadline_ - now);
     send.resume_after = splitter_.last_id();
     send.copy = to.copy;
-    channel_->send(state_.codec.write_request(exchange_.request(), send),
-                   exchange_.request().method == "HEAD");
-    if (!channel_->any_sent()) {
-        state_.channels.drop(to.backend.address);
+    connection_->send(state_.codec.write_request(exchange_.request(), send),
+                      exchange_.request().method == "HEAD");
+    if (!connection_->any_sent()) {
+        state_.connections.drop(to.backend.address);
         co_return fail(to, attempt_end::not_sent, "the connection was closed");
     }
     ++state_.counters.sends;
@@ -156,10 +156,10 @@
     sent_to_ = to.backend;
     answer_begun_ = false;
     queued_before_ = to.work;
-    channel_->expire_at(to.copy ? deadline_ : attempt_limit());
+    connection_->expire_at(to.copy ? deadline_ : attempt_limit());
     http_failure why;
-    if (!co_await channel_->read_head(why)) {
-        co_return fail(to, channel_->timed_out() ? attempt_end::silent : attempt_end::lost,
+    if (!co_await connection_->read_head(why)) {
+        co_return fail(to, connection_->timed_out() ? attempt_end::silent : attempt_end::lost,
                        why.text);
     }
     answer_begun_ = true;
@@ -167,7 +167,7 @@
 }
 
 asio::awaitable<std::optional<attempt_end>> forwarded_call::take_answer(const destination& to) {
-    const answer_facts facts = state_.codec.read_answer(*channel_, request_);
+    const answer_facts facts = state_.codec.read_answer(*connection_, request_);
     if (facts.wrong_server) {
         state_.registry.mark_leaving(to.backend.id);
         if (state_.on_registry_change) {
@@ -176,13 +176,13 @@
     }
     if (facts.not_run || facts.wrong_server) {
         std::string ignored;
-        while (co_await channel_->read(ignored)) {
+        while (co_await connection_->read(ignored)) {
         }
         give_back(to);
         co_return fail(to, attempt_end::not_run, facts.wrong_server ? "another server" : "refused");
     }
     if (!facts.genuine) {
-        channel_->close();
+        connection_->close();
         co_return fail(to, attempt_end::lost, "not the answer to this request");
     }
     if (route_->streaming && facts.status == 200) {
@@ -192,18 +192,18 @@
 }
 
 void forwarded_call::give_back(const destination& to) {
-    state_.channels.give_back(to.backend.address, std::exchange(channel_, nullptr),
-                              monotonic_now());
+    state_.connections.give_back(to.backend.address, std::exchange(connection_, nullptr),
+                                 monotonic_now());
 }
 
 asio::awaitable<std::optional<attempt_end>> forwarded_call::take_body(const destination& to,
                                                                       answer_facts facts) {
-    kept_answer answer{facts.status, state_.codec.answer_fields(*channel_), {}};
-    while (answer.body.size() <= answer_limit && co_await channel_->read(answer.body)) {
+    kept_answer answer{facts.status, state_.codec.answer_fields(*connection_), {}};
+    while (answer.body.size() <= answer_limit && co_await connection_->read(answer.body)) {
     }
-    if (!channel_->complete()) {
-        const bool silent = channel_->timed_out();
-        channel_->close();
+    if (!connection_->complete()) {
+        const bool silent = connection_->timed_out();
+        connection_->close();
         co_return fail(to, silent ? attempt_end::silent : attempt_end::lost,
                        "the answer broke off");
     }
@@ -273,7 +273,7 @@
         begun_ = true;
         first_event_ = now;
         note_reading();
-        const std::vector<http_field> fields = state_.codec.answer_fields(*channel_);
+        const std::vector<http_field> fields = state_.codec.answer_fields(*connection_);
         if (!co_await exchange_.begin_stream(status, {}, fields)) {
             co_return false;
         }
@@ -300,7 +300,7 @@
     std::string bytes;
     std::string events;
     event_order order = event_order::in_order;
-    while (order == event_order::in_order && co_await channel_->read(bytes)) {
+    while (order == event_order::in_order && co_await connection_->read(bytes)) {
         splitter_.append(bytes);
         bytes.clear();
         events.clear();
@@ -310,22 +310,22 @@
         }
         if (!co_await pass_on(events, facts.status)) {
             left_ = true;
-            channel_->close();
+            connection_->close();
             co_return fail(to, attempt_end::lost, "the caller left");
         }
         stream_->output_tokens = static_cast<std::int64_t>(splitter_.events()) * tokens_per_event;
         const std::int64_t output = stream_->output_tokens + expected_tokens_left(*stream_);
         update_work({1, request_.prompt_tokens + output, 0});
         if (may_go_on) {
-            channel_->expire_at(std::min(deadline_, monotonic_now() + longest_pause));
+            connection_->expire_at(std::min(deadline_, monotonic_now() + longest_pause));
         }
     }
     const bool whole =
-        order == event_order::in_order && channel_->complete() && splitter_.at_boundary();
-    const bool stopped_for_move = channel_->ended_by_close() && stream_->move_expected;
+        order == event_order::in_order && connection_->complete() && splitter_.at_boundary();
+    const bool stopped_for_move = connection_->ended_by_close() && stream_->move_expected;
     if (!whole || stopped_for_move) {
-        const bool silent = channel_->timed_out();
-        channel_->close();
+        const bool silent = connection_->timed_out();
+        connection_->close();
         co_return fail(to, silent ? attempt_end::silent : attempt_end::lost,
                        order == event_order::broken ? "an event is missing"
                                                     : "the stream broke off");
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -44,8 +44,8 @@
     if (stream_) {
         state_.streams.remove(stream_->id);
     }
-    if (channel_) {
-        channel_->close();
+    if (connection_) {
+        connection_->close();
     }
     --state_.counters.open;
 }
@@ -268,8 +268,8 @@
     }
     exchange_.watch_caller([this] {
         left_ = true;
-        if (channel_) {
-            channel_->close();
+        if (connection_) {
+            connection_->close();
         }
         if (stream_) {
             stream_->noticed.cancel();
@@ -326,8 +326,8 @@
         return;
     }
     withdrawn_ = true;
-    if (channel_) {
-        channel_->close();
+    if (connection_) {
+        connection_->close();
     }
 }
 
--- a/bamboostream/src/Forwarding/forwarded_call.h
+++ b/bamboostream/src/Forwarding/forwarded_call.h
@@ -68,7 +68,7 @@
     /// Sends once; nothing when the caller has got its whole answer.
     boost::asio::awaitable<std::optional<attempt_end>> attempt(const destination& to);
     void log_send(const destination& to) const;
-    boost::asio::awaitable<bool> open_channel(const registered_backend& backend);
+    boost::asio::awaitable<bool> open_connection(const registered_backend& backend);
     time_point attempt_limit() const;
     boost::asio::awaitable<std::optional<attempt_end>> take_answer(const destination& to);
     boost::asio::awaitable<std::optional<attempt_end>> take_body(const destination& to,
@@ -114,7 +114,7 @@
     int priority_ = 0;
     attempt_history history_;
     std::vector<backend_id> avoid_;
-    std::shared_ptr<http_channel> channel_;
+    std::shared_ptr<http_connection> connection_;
     event_splitter splitter_;
     std::shared_ptr<active_stream> stream_;
     std::optional<kept_answer> failure_;
--- a/bamboostream/src/Forwarding/forwarding_state.h
+++ b/bamboostream/src/Forwarding/forwarding_state.h
@@ -5,7 +5,7 @@
 #include "bamboostream/src/Forwarding/backend_contract.h"
 #include "bamboostream/src/Forwarding/engine_choice.h"
 #include "bamboostream/src/Forwarding/latency_metrics.h"
-#include "bamboostream/src/Http/http_channel_pool.h"
+#include "bamboostream/src/Http/http_connection_pool.h"
 #include "bamboostream/src/Limits/cold_start_limit.h"
 #include "bamboostream/src/Limits/come_back.h"
 #include "bamboostream/src/Limits/engine_admission.h"
@@ -88,7 +88,7 @@
     std::unordered_map<service_id, overload_watch> overloads;
     /// What to tell those that choose engines for this instance.
     outcome_book engine_outcomes;
-    http_channel_pool channels;
+    http_connection_pool connections;
     server_check server_checks;
     /// Requests that end the backend servers which run them.
     quarantine_registry quarantine;
--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -167,7 +167,7 @@
             evacuation->on_leaving(change.backend);
         }
         if (change.event == registry_event::gone || change.event == registry_event::restarted) {
-            forwarding.channels.drop(change.backend.address);
+            forwarding.connections.drop(change.backend.address);
         }
         if (change.event == registry_event::restarted) {
             evacuation->on_restart(change.backend.id);
@@ -260,7 +260,7 @@
 asio::awaitable<void> gateway::parts::housekeeping() {
     bool was_ready = false;
     while (true) {
-        forwarding.channels.expire(monotonic_now());
+        forwarding.connections.expire(monotonic_now());
         forwarding.quarantine.expire(monotonic_now());
         flush_log();
         if (!was_ready && state.ready()) {
--- a/bamboostream/src/Gateway/gateway_metrics.cpp
+++ b/bamboostream/src/Gateway/gateway_metrics.cpp
@@ -79,7 +79,7 @@
     append(out, "gauge", "quarantine_evidence", state.quarantine.decisions().size());
     append(out, "gauge", "open_requests", c.open);
     append(out, "gauge", "open_streams", state.streams.size());
-    append(out, "gauge", "idle_connections", state.channels.idle());
+    append(out, "gauge", "idle_connections", state.connections.idle());
     append(out, "gauge", "backend_servers", state.registry.all().size());
     append(out, "gauge", "cordoned_failure_domains", state.registry.cordoned().size());
     append(out, "gauge", "live_instances", state.live_instances);
--- a/bamboostream/src/Http/http_client.cpp
+++ b/bamboostream/src/Http/http_client.cpp
@@ -1,6 +1,6 @@
 #include "bamboostream/src/Http/http_client.h"
 
-#include "bamboostream/src/Http/http_channel.h"
+#include "bamboostream/src/Http/http_connection.h"
 
 #include <fmt/format.h>
 
@@ -27,20 +27,20 @@
     return out;
 }
 
-asio::awaitable<std::shared_ptr<http_channel>>
-open_channel(asio::any_io_executor executor, std::string address, http_request request,
-             milliseconds timeout, http_failure& why) {
-    const auto channel = std::make_shared<http_channel>(executor);
-    if (!co_await channel->connect(address, timeout, why)) {
+asio::awaitable<std::shared_ptr<http_connection>>
+open_connection(asio::any_io_executor executor, std::string address, http_request request,
+                milliseconds timeout, http_failure& why) {
+    const auto connection = std::make_shared<http_connection>(executor);
+    if (!co_await connection->connect(address, timeout, why)) {
         co_return nullptr;
     }
-    channel->expire_at(monotonic_now() + timeout);
-    channel->send(serialize(request, address), request.method == "HEAD");
-    if (!co_await channel->read_head(why)) {
+    connection->expire_at(monotonic_now() + timeout);
+    connection->send(serialize(request, address), request.method == "HEAD");
+    if (!co_await connection->read_head(why)) {
         co_return nullptr;
     }
-    channel->expire_never();
-    co_return channel;
+    connection->expire_never();
+    co_return connection;
 }
 
 } // namespace
@@ -48,26 +48,26 @@
 asio::awaitable<std::shared_ptr<http_stream>>
 open_http_stream(asio::any_io_executor executor, std::string address, http_request request,
                  milliseconds timeout, http_failure& why) {
-    co_return co_await open_channel(std::move(executor), std::move(address), std::move(request),
-                                    timeout, why);
+    co_return co_await open_connection(std::move(executor), std::move(address), std::move(request),
+                                       timeout, why);
 }
 
 asio::awaitable<std::optional<http_response>> fetch(asio::any_io_executor executor,
                                                     std::string address, http_request request,
                                                     milliseconds timeout, http_failure& why) {
-    const auto channel = co_await open_channel(std::move(executor), std::move(address),
-                                               std::move(request), timeout, why);
-    if (!channel) {
+    const auto connection = co_await open_connection(std::move(executor), std::move(address),
+                                                     std::move(request), timeout, why);
+    if (!connection) {
         co_return std::nullopt;
     }
-    channel->expire_at(monotonic_now() + timeout);
+    connection->expire_at(monotonic_now() + timeout);
     http_response response;
-    response.status = channel->status();
-    response.fields = channel->fields();
-    while (co_await channel->read(response.body)) {
+    response.status = connection->status();
+    response.fields = connection->fields();
+    while (co_await connection->read(response.body)) {
     }
-    const bool complete = channel->complete();
-    channel->close();
+    const bool complete = connection->complete();
+    connection->close();
     if (!complete) {
         why.set(http_error::broken, "the response broke off");
         co_return std::nullopt;
--- a/bamboostream/src/Http/http_channel.cpp
+++ b/bamboostream/src/Http/http_connection.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Http/http_channel.h"
+#include "bamboostream/src/Http/http_connection.h"
 
 #include "bamboostream/src/Http/address.h"
 
@@ -37,14 +37,14 @@
 
 } // namespace
 
-http_channel::http_channel(const asio::any_io_executor& executor)
+http_connection::http_connection(const asio::any_io_executor& executor)
     : socket_(executor), watchdog_(executor),
       buffer_(std::make_unique<std::array<char, 16 * 1024>>()) {}
 
-http_channel::~http_channel() = default;
+http_connection::~http_connection() = default;
 
-asio::awaitable<bool> http_channel::connect(std::string address, milliseconds timeout,
-                                            http_failure& why) {
+asio::awaitable<bool> http_connection::connect(std::string address, milliseconds timeout,
+                                               http_failure& why) {
     const auto endpoint = to_endpoint(address);
     if (!endpoint) {
         why.set(http_error::not_connected, "not an ip:port address: " + address);
@@ -63,14 +63,14 @@
     co_return true;
 }
 
-void http_channel::start_parser() {
+void http_connection::start_parser() {
     parser_.emplace();
     parser_->body_limit(response_body_limit);
     parser_->eager(true);
     parser_->skip(head_only_);
 }
 
-void http_channel::send(std::string bytes, bool head_only) {
+void http_connection::send(std::string bytes, bool head_only) {
     head_only_ = head_only;
     ended_by_close_ = false;
     any_sent_ = false;
@@ -99,7 +99,7 @@
     }
 }
 
-asio::awaitable<void> http_channel::write_rest(std::size_t done) {
+asio::awaitable<void> http_connection::write_rest(std::size_t done) {
     beast::error_code ec;
     co_await asio::async_write(socket_, asio::buffer(out_.data() + done, out_.size() - done),
                                token(ec));
@@ -107,7 +107,7 @@
     writing_ = ec.failed();
 }
 
-asio::awaitable<bool> http_channel::read_head(http_failure& why) {
+asio::awaitable<bool> http_connection::read_head(http_failure& why) {
     beast::error_code ec;
     do {
         if (parser_->is_header_done()) {
@@ -129,7 +129,7 @@
     co_return true;
 }
 
-asio::awaitable<void> http_channel::read_once(beast::error_code& ec) {
+asio::awaitable<void> http_connection::read_once(beast::error_code& ec) {
     const std::size_t count = co_await socket_.async_read_some(
         asio::buffer(buffer_->data() + kept_, buffer_->size() - kept_), token(ec));
     if (ec == asio::error::eof && parser_->got_some() && !parser_->is_done()) {
@@ -146,7 +146,7 @@
     }
 }
 
-void http_channel::parse(std::size_t available, beast::error_code& ec) {
+void http_connection::parse(std::size_t available, beast::error_code& ec) {
     std::size_t used = 0;
     while (used < available && !parser_->is_done()) {
         const std::size_t taken =
@@ -168,18 +168,18 @@
     }
 }
 
-int http_channel::status() const {
+int http_connection::status() const {
     return static_cast<int>(parser_->get().result_int());
 }
 
-std::string_view http_channel::field(std::string_view name) const {
+std::string_view http_connection::field(std::string_view name) const {
     const auto found = parser_->get().find(beast::string_view(name.data(), name.size()));
     return found == parser_->get().end()
                ? std::string_view{}
                : std::string_view(found->value().data(), found->value().size());
 }
 
-std::vector<http_field> http_channel::fields() const {
+std::vector<http_field> http_connection::fields() const {
     std::vector<http_field> out;
     for (const auto& field : parser_->get()) {
         out.push_back({std::string(field.name_string()), std::string(field.value())});
@@ -187,7 +187,7 @@
     return out;
 }
 
-asio::awaitable<bool> http_channel::read(std::string& into) {
+asio::awaitable<bool> http_connection::read(std::string& into) {
     beast::error_code ec;
     while (parser_->get().body().empty() && !parser_->is_done() && !ec) {
         co_await read_once(ec);
@@ -201,11 +201,11 @@
     co_return any;
 }
 
-bool http_channel::complete() const {
+bool http_connection::complete() const {
     return parser_ && parser_->is_done();
 }
 
-void http_channel::expire_at(time_point when) {
+void http_connection::expire_at(time_point when) {
     watchdog_.expires_at(when);
     watchdog_.async_wait([weak = weak_from_this()](const beast::error_code& ec) {
         const auto self = weak.lock();
@@ -216,27 +216,27 @@
     });
 }
 
-void http_channel::expire_never() {
+void http_connection::expire_never() {
     watchdog_.cancel();
 }
 
-void http_channel::close() {
+void http_connection::close() {
     beast::error_code ec;
     watchdog_.cancel();
     socket_.close(ec);
 }
 
-bool http_channel::answer_closes() const {
+bool http_connection::answer_closes() const {
     return !parser_->get().keep_alive() || ended_by_close_;
 }
 
-bool http_channel::reusable() const {
+bool http_connection::reusable() const {
     const bool all_read = out_.size() <= surely_read_bytes;
     return socket_.is_open() && complete() && kept_ == 0 && !writing_ && all_read &&
            !answer_closes();
 }
 
-std::optional<seconds> http_channel::idle_limit() const {
+std::optional<seconds> http_connection::idle_limit() const {
     constexpr std::string_view name = "timeout=";
     const std::string_view text = field("Keep-Alive");
     const std::size_t at = text.find(name);
@@ -249,7 +249,7 @@
     return parsed.ec == std::errc{} ? std::optional(seconds(value)) : std::nullopt;
 }
 
-void http_channel::watch_idle() {
+void http_connection::watch_idle() {
     socket_.async_wait(asio::ip::tcp::socket::wait_read,
                        [weak = weak_from_this()](const beast::error_code& ec) {
                            const auto self = weak.lock();
@@ -259,7 +259,7 @@
                        });
 }
 
-void http_channel::stop_watching() {
+void http_connection::stop_watching() {
     beast::error_code ec;
     socket_.cancel(ec);
 }
--- a/bamboostream/src/Http/http_channel.h
+++ b/bamboostream/src/Http/http_connection.h
@@ -23,19 +23,20 @@
 ///
 /// Example:
 /// ```
-/// auto channel = std::make_shared<http_channel>(executor);
+/// auto channel = std::make_shared<http_connection>(executor);
 /// if (co_await channel->connect(address, connect_timeout, why)) {
 ///     channel->send(std::move(bytes), false);
 ///     channel->expire_at(deadline);
 ///     if (co_await channel->read_head(why)) { … channel->read(into) … }
 /// }
 /// ```
-class http_channel final : public http_stream, public std::enable_shared_from_this<http_channel> {
+class http_connection final : public http_stream,
+                              public std::enable_shared_from_this<http_connection> {
 public:
-    explicit http_channel(const boost::asio::any_io_executor& executor);
-    ~http_channel() override;
-    http_channel(const http_channel&) = delete;
-    http_channel& operator=(const http_channel&) = delete;
+    explicit http_connection(const boost::asio::any_io_executor& executor);
+    ~http_connection() override;
+    http_connection(const http_connection&) = delete;
+    http_connection& operator=(const http_connection&) = delete;
 
     boost::asio::awaitable<bool> connect(std::string address, milliseconds timeout,
                                          http_failure& why);
--- a/test/platform/system/gateway_fixture.h
+++ b/test/platform/system/gateway_fixture.h
@@ -156,21 +156,21 @@
         asio::co_spawn(
             context_,
             [this, result, address, request]() -> asio::awaitable<void> {
-                const auto channel = std::make_shared<http_channel>(context_.get_executor());
+                const auto connection = std::make_shared<http_connection>(context_.get_executor());
                 http_failure why;
                 result->status = -1;
-                if (co_await channel->connect(address, patience, why)) {
+                if (co_await connection->connect(address, patience, why)) {
                     std::string bytes = fmt::format("{} {} HTTP/1.1\r\nHost: h.example\r\n",
                                                     request.method, request.path);
                     for (const http_field& field : request.fields) {
                         bytes += fmt::format("{}: {}\r\n", field.name, field.value);
                     }
-                    channel->send(bytes + "\r\n", false);
-                    if (co_await channel->read_head(why)) {
-                        result->status = channel->status();
-                        while (co_await channel->read(result->body)) {
+                    connection->send(bytes + "\r\n", false);
+                    if (co_await connection->read_head(why)) {
+                        result->status = connection->status();
+                        while (co_await connection->read(result->body)) {
                         }
-                        result->status = channel->complete() ? result->status : -1;
+                        result->status = connection->complete() ? result->status : -1;
                     }
                 }
                 result->done = true;
--- a/test/platform/system/soak_requests.cpp
+++ b/test/platform/system/soak_requests.cpp
@@ -33,27 +33,28 @@
     return request.substr(from, request.find(' ', from) - from);
 }
 
-asio::awaitable<void> send_audited(http_channel& channel, soak_audit& audit, soak_request request) {
-    channel.send(fmt::format("GET {} HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: {}\r\n"
-                             "Authorization: Bearer k\r\nDeadline-Ms: {}\r\n\r\n",
-                             request.path, request.id, patience_of_callers.count()),
-                 false);
-    channel.expire_at(monotonic_now() + longest_answer);
+asio::awaitable<void> send_audited(http_connection& connection, soak_audit& audit,
+                                   soak_request request) {
+    connection.send(fmt::format("GET {} HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: {}\r\n"
+                                "Authorization: Bearer k\r\nDeadline-Ms: {}\r\n\r\n",
+                                request.path, request.id, patience_of_callers.count()),
+                    false);
+    connection.expire_at(monotonic_now() + longest_answer);
     http_failure why;
-    const bool head = co_await channel.read_head(why);
+    const bool head = co_await connection.read_head(why);
     std::string body;
     int events = 0;
-    while (head && co_await channel.read(body)) {
-        if (request.stream && channel.status() == 200) {
+    while (head && co_await connection.read(body)) {
+        if (request.stream && connection.status() == 200) {
             events = note_events(audit, request.id, body, events);
         }
     }
-    const bool whole = head && channel.complete();
-    if (request.stream && whole && channel.status() == 200) {
+    const bool whole = head && connection.complete();
+    if (request.stream && whole && connection.status() == 200) {
         audit.completed(request.id, events_a_stream);
-    } else if (whole && channel.status() == 200) {
+    } else if (whole && connection.status() == 200) {
         audit.ended(request.id, seen_end::answered, body);
-    } else if (head && channel.status() == 503) {
+    } else if (head && connection.status() == 503) {
         audit.ended(request.id, seen_end::not_run, body);
     } else {
         audit.ended(request.id, seen_end::unknown, body);
@@ -62,7 +63,7 @@
         audit.held(request.id, request.path);
     }
     if (!whole) {
-        channel.close();
+        connection.close();
     }
 }
 
--- a/test/platform/system/soak_requests.h
+++ b/test/platform/system/soak_requests.h
@@ -22,7 +22,7 @@
 
 /// Sends a request, reads its answer and tells the audit what came. The channel is closed unless
 /// the answer was whole.
-boost::asio::awaitable<void> send_audited(http_channel& channel, soak_audit& audit,
+boost::asio::awaitable<void> send_audited(http_connection& connection, soak_audit& audit,
                                           soak_request request);
 
 } // namespace bamboostream::test
--- a/test/platform/system/soak_test.cpp
+++ b/test/platform/system/soak_test.cpp
@@ -380,24 +380,24 @@
 
     /// A caller that keeps its connection until the process behind it is gone.
     asio::awaitable<void> call_on(int caller) {
-        std::shared_ptr<http_channel> channel;
+        std::shared_ptr<http_connection> connection;
         std::size_t at = static_cast<std::size_t>(caller);
         ++callers_;
         while (!stop_) {
-            if (!channel || !channel->reusable()) {
-                channel = std::make_shared<http_channel>(context_.get_executor());
+            if (!connection || !connection->reusable()) {
+                connection = std::make_shared<http_connection>(context_.get_executor());
                 http_failure why;
                 at = (at + 1) % instances_.size();
-                if (!co_await channel->connect(instances_[at]->ip + ":8740", milliseconds(500),
-                                               why)) {
-                    channel.reset();
+                if (!co_await connection->connect(instances_[at]->ip + ":8740", milliseconds(500),
+                                                  why)) {
+                    connection.reset();
                     co_await pause_for(milliseconds(20));
                     continue;
                 }
             }
             const bool stream = caller % 3 == 0;
             soak_request request{random_id(), stream ? "/s/x" : "/a/x", stream};
-            co_await send_audited(*channel, audit_, std::move(request));
+            co_await send_audited(*connection, audit_, std::move(request));
             co_await pause_for(milliseconds(5));
         }
         --callers_;
@@ -409,13 +409,13 @@
         while (!harm_is_over_) {
             const std::size_t at =
                 std::uniform_int_distribution<std::size_t>(0, instances_.size() - 1)(random_);
-            http_channel channel(context_.get_executor());
+            http_connection connection(context_.get_executor());
             http_failure why;
-            if (co_await channel.connect(instances_[at]->ip + ":8740", milliseconds(500), why)) {
+            if (co_await connection.connect(instances_[at]->ip + ":8740", milliseconds(500), why)) {
                 soak_request request{random_id(), path, false};
                 sent_by_[request.id] = at;
-                co_await send_audited(channel, audit_, std::move(request));
-                channel.close();
+                co_await send_audited(connection, audit_, std::move(request));
+                connection.close();
             }
             co_await pause_for(harmful_pause);
         }
--- a/test/platform/translation_test.cpp
+++ b/test/platform/translation_test.cpp
@@ -258,10 +258,10 @@
         std::string write_request(const http_request&, const forward_send&) const override {
             return {};
         }
-        answer_facts read_answer(const http_channel&, const forward_request&) const override {
+        answer_facts read_answer(const http_connection&, const forward_request&) const override {
             return {};
         }
-        std::vector<http_field> answer_fields(const http_channel&) const override { return {}; }
+        std::vector<http_field> answer_fields(const http_connection&) const override { return {}; }
     };
     const no_requests requests;
     forwarding_state forwarding(requests, failure_domain_id("z"), {}, 1);
