--- a/bamboostream/src/Client/caller.cpp
+++ b/bamboostream/src/Client/caller.cpp
@@ -181,7 +181,7 @@
     auto guard = std::make_shared<silence_guard>();
     asio::co_spawn(executor_, guard_silence(guard, options_.silence_limit), asio::detached);
     std::string refusal;
-    event_reader reader;
+    sse_parser reader;
     const bool streaming = stream->status() == 200;
     bool more = true;
     while (more && !state.done) {
@@ -189,7 +189,7 @@
         guard->last_bytes = monotonic_now();
         more = co_await stream->read(streaming ? reader.buffer() : refusal);
         guard->stream = nullptr;
-        event_reader::event event;
+        sse_parser::event event;
         while (streaming && !state.done && reader.next(event)) {
             if (!event.comment_only) {
                 take_event(event.type, event.data, state, result, listener);
--- a/bamboostream/src/Http/server_sent_events.cpp
+++ b/bamboostream/src/Http/server_sent_events.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-std::string& event_reader::buffer() {
+std::string& sse_parser::buffer() {
     if (begin_ > 0) {
         buffer_.erase(0, begin_);
         begin_ = 0;
@@ -29,7 +29,7 @@
     return buffer_;
 }
 
-bool event_reader::next(event& out) {
+bool sse_parser::next(event& out) {
     const std::string_view all = std::string_view(buffer_).substr(begin_);
     const std::size_t end = all.find("\n\n");
     if (end == std::string_view::npos) {
--- a/bamboostream/src/Http/server_sent_events.h
+++ b/bamboostream/src/Http/server_sent_events.h
@@ -9,7 +9,7 @@
 /// until it returns false. Holds at most one event beyond what was taken out.
 ///
 /// Example: `while (reader.next(event)) { use(event.data); }`
-class event_reader {
+class sse_parser {
 public:
     /// One event; the views last until the next call of `append` or `next`.
     struct event {
@@ -25,7 +25,7 @@
     /// Takes the next whole event out.
     bool next(event& out);
     /// True when more than `limit` bytes wait without the end of an event.
-    bool overflown(std::size_t limit) const { return buffer_.size() - begin_ > limit; }
+    bool buffered_more_than(std::size_t limit) const { return buffer_.size() - begin_ > limit; }
 
 private:
     std::string buffer_;
--- a/bamboostream/src/Streams/relay.cpp
+++ b/bamboostream/src/Streams/relay.cpp
@@ -139,7 +139,7 @@
     watch_guard guard(watch);
     asio::co_spawn(executor_, watch_silence(watch), asio::detached);
     time_point last_progress = monotonic_now();
-    auto reader = std::make_unique<event_reader>();
+    auto reader = std::make_unique<sse_parser>();
     auto parser = std::make_unique<engine_event_parser>();
     while (true) {
         if (!stream) {
@@ -148,7 +148,7 @@
                 result.end = relay_end::lost;
                 break;
             }
-            reader = std::make_unique<event_reader>();
+            reader = std::make_unique<sse_parser>();
         }
         watch->stream = stream.get();
         watch->last_bytes = monotonic_now();
@@ -156,7 +156,7 @@
         watch->last_bytes = monotonic_now();
         watch->stream = nullptr;
         bool broken = !more;
-        event_reader::event event;
+        sse_parser::event event;
         while (!broken && reader->next(event)) {
             if (event.comment_only) {
                 continue;
@@ -190,7 +190,7 @@
                           backend_.text(), sequencer.generation(), parsed.sequence);
             }
         }
-        if (reader->overflown(longest_event)) {
+        if (reader->buffered_more_than(longest_event)) {
             broken = true;
         }
         if (out.gone()) {
--- a/test/fuzz/input_fuzz.cpp
+++ b/test/fuzz/input_fuzz.cpp
@@ -29,9 +29,9 @@
 }
 
 void fuzz_events(std::string_view bytes) {
-    event_reader reader;
+    sse_parser reader;
     reader.buffer() += bytes;
-    event_reader::event event;
+    sse_parser::event event;
     while (reader.next(event)) {
     }
 }
--- a/test/streams_test.cpp
+++ b/test/streams_test.cpp
@@ -135,9 +135,9 @@
 TEST(event_reader_test, events_survive_any_split) {
     const std::string text = ": hb\n\nevent: handle\ndata: {\"a\":1}\n\nid: g:1\ndata: x\r\n\n";
     for (std::size_t split = 0; split <= text.size(); ++split) {
-        event_reader reader;
+        sse_parser reader;
         std::vector<std::string> seen;
-        event_reader::event event;
+        sse_parser::event event;
         for (const std::string& part : {text.substr(0, split), text.substr(split)}) {
             reader.buffer() += part;
             while (reader.next(event)) {
