--- a/bamboostream/src/Core/clock.h
+++ b/bamboostream/src/Core/clock.h
@@ -32,7 +32,7 @@
 
 /// Milliseconds since this machine started, those in which it was suspended included. Same rule as
 /// `monotonic_now`.
-inline milliseconds machine_now() {
+inline milliseconds time_since_boot() {
     timespec now{};
     clock_gettime(CLOCK_BOOTTIME, &now);
     return std::chrono::duration_cast<milliseconds>(seconds(now.tv_sec) +
--- a/bamboostream/src/Gateway/store_news.cpp
+++ b/bamboostream/src/Gateway/store_news.cpp
@@ -166,7 +166,7 @@
     }
     news.documents_sequence = static_cast<std::uint64_t>(state_.cordons().position);
     news.cordoned = to_wire(state_.cordons().domains);
-    news.told_at_ms = machine_now().count();
+    news.told_at_ms = time_since_boot().count();
     send_to_all(std::move(news));
 }
 
@@ -253,8 +253,9 @@
         take(sender, news, monotonic_now());
         return;
     }
-    const milliseconds late = delays_.beyond_least(teller, relayed ? news.teller_stamp : stamp,
-                                                   milliseconds(news.told_at_ms), machine_now());
+    const milliseconds late =
+        delays_.beyond_least(teller, relayed ? news.teller_stamp : stamp,
+                             milliseconds(news.told_at_ms), time_since_boot());
     wire::StoreNewsT aged = news;
     aged.entries_age_ms = older(news.entries_age_ms, late);
     aged.documents_age_ms = older(news.documents_age_ms, late);
--- a/bamboostream/src/Gateway/telling_delay.h
+++ b/bamboostream/src/Gateway/telling_delay.h
@@ -18,7 +18,7 @@
 /// they are apart doesn't change, so what the difference exceeds its least value by is time under
 /// way.
 ///
-/// Example: `as_of -= delay.beyond_least(teller, stamp, told_at, machine_now());`
+/// Example: `as_of -= delay.beyond_least(teller, stamp, told_at, time_since_boot());`
 class telling_delay {
 public:
     /// The least difference is looked for among those of the last two spans of this length. A clock
