--- a/bamboostream/src/Control/claim_keeper.cpp
+++ b/bamboostream/src/Control/claim_keeper.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 claim_keeper::claim_keeper(asio::io_context& context, log_service& log,
-                           membership_service& membership, link_hub& links, timing times)
+                           membership_service& membership, peer_links& links, timing times)
     : context_(context), log_(log), membership_(membership), links_(links), times_(times),
       queue_filled_(context) {}
 
--- a/bamboostream/src/Control/claim_keeper.h
+++ b/bamboostream/src/Control/claim_keeper.h
@@ -4,7 +4,7 @@
 #include "bamboostream/src/Contracts/plain_service.h"
 #include "bamboostream/src/Control/membership_service.h"
 #include "bamboostream/src/Ledger/claim_table.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -60,7 +60,7 @@
     };
 
     claim_keeper(boost::asio::io_context& context, log_service& log, membership_service& membership,
-                 link_hub& links, timing times);
+                 peer_links& links, timing times);
 
     void start();
     /// Claims a call until `deadline` (monotonic).
@@ -117,7 +117,7 @@
     boost::asio::io_context& context_;
     log_service& log_;
     membership_service& membership_;
-    link_hub& links_;
+    peer_links& links_;
     timing times_;
     claim_table table_;
     std::vector<ledger_entry> queue_;
--- a/bamboostream/src/Control/configuration_service.cpp
+++ b/bamboostream/src/Control/configuration_service.cpp
@@ -21,7 +21,7 @@
 } // namespace
 
 configuration_service::configuration_service(asio::io_context& context, log_service& log,
-                                             membership_service& membership, link_hub& links,
+                                             membership_service& membership, peer_links& links,
                                              timing times)
     : context_(context), log_(log), membership_(membership), links_(links), times_(times),
       document_(std::make_shared<const configuration_document>()) {}
--- a/bamboostream/src/Control/configuration_service.h
+++ b/bamboostream/src/Control/configuration_service.h
@@ -3,7 +3,7 @@
 #include "bamboostream/src/Configuration/configuration_state.h"
 #include "bamboostream/src/Contracts/log_service.h"
 #include "bamboostream/src/Control/membership_service.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include <atomic>
 #include <boost/asio/awaitable.hpp>
@@ -32,7 +32,7 @@
     };
 
     configuration_service(boost::asio::io_context& context, log_service& log,
-                          membership_service& membership, link_hub& links, timing times);
+                          membership_service& membership, peer_links& links, timing times);
 
     void start();
     /// Called on the control thread when a newer version is in force.
@@ -58,7 +58,7 @@
     boost::asio::io_context& context_;
     log_service& log_;
     membership_service& membership_;
-    link_hub& links_;
+    peer_links& links_;
     timing times_;
     configuration_state state_;
     std::atomic<std::shared_ptr<const configuration_document>> document_;
--- a/bamboostream/src/Control/home_service.cpp
+++ b/bamboostream/src/Control/home_service.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-home_service::home_service(membership_service& membership, link_hub& links)
+home_service::home_service(membership_service& membership, peer_links& links)
     : membership_(membership), links_(links) {}
 
 std::vector<std::string> home_service::homes(const std::string& workspace,
--- a/bamboostream/src/Control/home_service.h
+++ b/bamboostream/src/Control/home_service.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bamboostream/src/Control/membership_service.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <memory>
@@ -29,7 +29,7 @@
 /// Homes only save double work: when none answers, the request is run.
 class home_service {
 public:
-    home_service(membership_service& membership, link_hub& links);
+    home_service(membership_service& membership, peer_links& links);
 
     /// Claims a key for `claimant`, or learns who has it.
     boost::asio::awaitable<home_answer> claim(std::string workspace, std::string key,
@@ -62,7 +62,7 @@
     bool holder_alive(const entry& e) const;
 
     membership_service& membership_;
-    link_hub& links_;
+    peer_links& links_;
     std::unordered_map<std::string, entry> entries_;
     time_point last_expiry_{};
 };
--- a/bamboostream/src/Control/membership_service.cpp
+++ b/bamboostream/src/Control/membership_service.cpp
@@ -58,7 +58,7 @@
 
 } // namespace
 
-membership_service::membership_service(asio::io_context& context, link_hub& links,
+membership_service::membership_service(asio::io_context& context, peer_links& links,
                                        std::unique_ptr<instance_list> list, member_facts self,
                                        timing times, std::uint64_t seed)
     : context_(context), links_(links), list_(std::move(list)), times_(times),
--- a/bamboostream/src/Control/membership_service.h
+++ b/bamboostream/src/Control/membership_service.h
@@ -3,7 +3,7 @@
 #include "bamboostream/src/Contracts/engine.h"
 #include "bamboostream/src/Contracts/instance_list.h"
 #include "bamboostream/src/Core/rendezvous.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 #include "bamboostream/src/Membership/backend_table.h"
 #include "bamboostream/src/Membership/directory.h"
 #include "bamboostream/src/Membership/member_table.h"
@@ -42,7 +42,7 @@
     /// Called with each status of an engine.
     using status_listener = std::function<void(const backend_facts&, const engine_status&)>;
 
-    membership_service(boost::asio::io_context& context, link_hub& links,
+    membership_service(boost::asio::io_context& context, peer_links& links,
                        std::unique_ptr<instance_list> list, member_facts self, timing times,
                        std::uint64_t seed);
 
@@ -98,7 +98,7 @@
     void report_changes();
 
     boost::asio::io_context& context_;
-    link_hub& links_;
+    peer_links& links_;
     std::unique_ptr<instance_list> list_;
     timing times_;
     member_table members_;
--- a/bamboostream/src/Control/quarantine_exchange.cpp
+++ b/bamboostream/src/Control/quarantine_exchange.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-quarantine_exchange::quarantine_exchange(asio::io_context& context, link_hub& links,
+quarantine_exchange::quarantine_exchange(asio::io_context& context, peer_links& links,
                                          membership_service& membership,
                                          quarantine_registry& quarantine)
     : context_(context), links_(links), membership_(membership), quarantine_(quarantine),
--- a/bamboostream/src/Control/quarantine_exchange.h
+++ b/bamboostream/src/Control/quarantine_exchange.h
@@ -2,7 +2,7 @@
 
 #include "bamboostream/src/Control/membership_service.h"
 #include "bamboostream/src/Limits/quarantine_registry.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -28,7 +28,7 @@
 /// Example: `registry.on_evidence([&](const auto& it) { exchange.note(it); }); exchange.start();`
 class quarantine_exchange {
 public:
-    quarantine_exchange(boost::asio::io_context& context, link_hub& links,
+    quarantine_exchange(boost::asio::io_context& context, peer_links& links,
                         membership_service& membership, quarantine_registry& quarantine);
 
     void start();
@@ -45,7 +45,7 @@
     boost::asio::awaitable<void> ask(std::string peer);
 
     boost::asio::io_context& context_;
-    link_hub& links_;
+    peer_links& links_;
     membership_service& membership_;
     quarantine_registry& quarantine_;
     std::vector<harm_evidence> unannounced_;
--- a/bamboostream/src/Control/quarantine_service.cpp
+++ b/bamboostream/src/Control/quarantine_service.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-quarantine_service::quarantine_service(asio::io_context& context, link_hub& links,
+quarantine_service::quarantine_service(asio::io_context& context, peer_links& links,
                                        membership_service& membership)
     : context_(context), membership_(membership), exchange_(context, links, membership, registry_) {
     registry_.on_evidence([this](const harm_evidence& it) { exchange_.note(it); });
--- a/bamboostream/src/Control/quarantine_service.h
+++ b/bamboostream/src/Control/quarantine_service.h
@@ -4,7 +4,7 @@
 #include "bamboostream/src/Control/membership_service.h"
 #include "bamboostream/src/Control/quarantine_exchange.h"
 #include "bamboostream/src/Limits/quarantine_registry.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -35,7 +35,7 @@
 /// Example: `if (quarantine.any() && quarantine.holds(digest)) refuse();`
 class quarantine_service {
 public:
-    quarantine_service(boost::asio::io_context& context, link_hub& links,
+    quarantine_service(boost::asio::io_context& context, peer_links& links,
                        membership_service& membership);
 
     void start();
--- a/bamboostream/src/Control/scheduling_service.cpp
+++ b/bamboostream/src/Control/scheduling_service.cpp
@@ -36,7 +36,7 @@
 
 scheduling_service::scheduling_service(asio::io_context& context,
                                        configuration_service& configuration,
-                                       membership_service& membership, link_hub& links,
+                                       membership_service& membership, peer_links& links,
                                        std::uint64_t seed)
     : context_(context), configuration_(configuration), membership_(membership), links_(links),
       seed_(seed) {}
--- a/bamboostream/src/Control/scheduling_service.h
+++ b/bamboostream/src/Control/scheduling_service.h
@@ -3,7 +3,7 @@
 #include "bamboostream/src/Control/configuration_service.h"
 #include "bamboostream/src/Control/membership_service.h"
 #include "bamboostream/src/Limits/pool_scheduler.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 #include "bamboostream/src/Streams/relay.h"
 
 #include <boost/asio/awaitable.hpp>
@@ -37,7 +37,7 @@
 class scheduling_service {
 public:
     scheduling_service(boost::asio::io_context& context, configuration_service& configuration,
-                       membership_service& membership, link_hub& links, std::uint64_t seed);
+                       membership_service& membership, peer_links& links, std::uint64_t seed);
 
     void start();
     /// Waits for a place for `request` in `pool`, until granted or refused.
@@ -85,7 +85,7 @@
     boost::asio::io_context& context_;
     configuration_service& configuration_;
     membership_service& membership_;
-    link_hub& links_;
+    peer_links& links_;
     std::uint64_t seed_;
     std::map<std::string, local_pool, std::less<>> pools_;
     std::unordered_map<std::uint64_t, std::shared_ptr<waiter>> waiters_;
--- a/bamboostream/src/Entry/instance.cpp
+++ b/bamboostream/src/Entry/instance.cpp
@@ -108,7 +108,7 @@
 bool instance::parts::listen(std::string& caller, std::string& operator_address,
                              std::string& peer) {
     core.links =
-        std::make_unique<link_hub>(core.control, [this](std::unique_ptr<wire::FrameT> frame) {
+        std::make_unique<peer_links>(core.control, [this](std::unique_ptr<wire::FrameT> frame) {
             return handle_frame(std::move(frame));
         });
     std::vector<asio::io_context*> contexts;
--- a/bamboostream/src/Entry/instance_core.h
+++ b/bamboostream/src/Entry/instance_core.h
@@ -55,7 +55,7 @@
 
     instance_settings settings;
     boost::asio::io_context control{1};
-    std::unique_ptr<link_hub> links;
+    std::unique_ptr<peer_links> links;
     std::unique_ptr<log_service> log;
     std::unique_ptr<membership_service> membership;
     std::unique_ptr<configuration_service> configuration;
--- a/bamboostream/src/Gateway/configuration_spread.cpp
+++ b/bamboostream/src/Gateway/configuration_spread.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-configuration_spread::configuration_spread(asio::io_context& context, link_hub& links,
+configuration_spread::configuration_spread(asio::io_context& context, peer_links& links,
                                            membership_service& membership, deployment_state& state)
     : context_(context), links_(links), membership_(membership), state_(state),
       shelf_(document_shelf::most_served_over(0.0)), fetch_(stable_hash(membership.own_address())),
--- a/bamboostream/src/Gateway/configuration_spread.h
+++ b/bamboostream/src/Gateway/configuration_spread.h
@@ -4,7 +4,7 @@
 #include "bamboostream/src/Gateway/deployment_state.h"
 #include "bamboostream/src/Gateway/document_fetch.h"
 #include "bamboostream/src/Gateway/document_shelf.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -25,7 +25,7 @@
 /// and answered is decided by `document_fetch` and `document_shelf`.
 class configuration_spread {
 public:
-    configuration_spread(boost::asio::io_context& context, link_hub& links,
+    configuration_spread(boost::asio::io_context& context, peer_links& links,
                          membership_service& membership, deployment_state& state);
 
     void start();
@@ -60,7 +60,7 @@
     void note_judged(const encoded_document& received, document_verdict verdict);
 
     boost::asio::io_context& context_;
-    link_hub& links_;
+    peer_links& links_;
     membership_service& membership_;
     deployment_state& state_;
     document_shelf shelf_;
--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -75,7 +75,7 @@
     configuration_reader reader;
     store_duty duty;
     store_follower store;
-    link_hub links;
+    peer_links links;
     std::unique_ptr<membership_service> membership;
     std::unique_ptr<configuration_spread> spread;
     std::unique_ptr<store_news> news;
--- a/bamboostream/src/Gateway/gateway_metrics.h
+++ b/bamboostream/src/Gateway/gateway_metrics.h
@@ -3,7 +3,7 @@
 #include "bamboostream/src/Forwarding/forwarding_state.h"
 #include "bamboostream/src/Gateway/document_fetch.h"
 #include "bamboostream/src/Gateway/store_follower.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include <cstdint>
 #include <string>
--- a/bamboostream/src/Gateway/peer_exchange.cpp
+++ b/bamboostream/src/Gateway/peer_exchange.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-peer_exchange::peer_exchange(asio::io_context& context, link_hub& links,
+peer_exchange::peer_exchange(asio::io_context& context, peer_links& links,
                              membership_service& membership, forwarding_state& forwarding,
                              store_news& news, configuration_spread& spread, pool_owner& owner,
                              quarantine_exchange& quarantine)
--- a/bamboostream/src/Gateway/peer_exchange.h
+++ b/bamboostream/src/Gateway/peer_exchange.h
@@ -5,7 +5,7 @@
 #include "bamboostream/src/Evacuation/evacuation_service.h"
 #include "bamboostream/src/Gateway/pool_owner.h"
 #include "bamboostream/src/Gateway/store_news.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -20,9 +20,9 @@
 /// `store_news`, what the store says. Lives on one thread.
 class peer_exchange final : public evacuation_peers {
 public:
-    peer_exchange(boost::asio::io_context& context, link_hub& links, membership_service& membership,
-                  forwarding_state& forwarding, store_news& news, configuration_spread& spread,
-                  pool_owner& owner, quarantine_exchange& quarantine);
+    peer_exchange(boost::asio::io_context& context, peer_links& links,
+                  membership_service& membership, forwarding_state& forwarding, store_news& news,
+                  configuration_spread& spread, pool_owner& owner, quarantine_exchange& quarantine);
 
     void start();
     /// Answers a frame of another instance.
@@ -42,7 +42,7 @@
     std::unique_ptr<wire::FrameT> answer_movable(const backend_id& backend);
 
     boost::asio::io_context& context_;
-    link_hub& links_;
+    peer_links& links_;
     membership_service& membership_;
     forwarding_state& forwarding_;
     store_news& news_;
--- a/bamboostream/src/Gateway/pool_owner.h
+++ b/bamboostream/src/Gateway/pool_owner.h
@@ -3,7 +3,7 @@
 #include "bamboostream/src/Control/membership_service.h"
 #include "bamboostream/src/Forwarding/engine_choice.h"
 #include "bamboostream/src/Forwarding/forwarding_state.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <memory>
@@ -29,7 +29,7 @@
 /// views of different ages crowd the same engines.
 class pool_owner final : public engine_scheduler {
 public:
-    pool_owner(link_hub& links, membership_service& membership, forwarding_state& forwarding)
+    pool_owner(peer_links& links, membership_service& membership, forwarding_state& forwarding)
         : links_(links), membership_(membership), forwarding_(forwarding) {}
 
     boost::asio::awaitable<std::optional<engine_choice>>
@@ -50,7 +50,7 @@
     std::vector<std::string> owners(const service_id& service) const;
     bool is_silent(const std::string& owner, time_point now) const;
 
-    link_hub& links_;
+    peer_links& links_;
     membership_service& membership_;
     forwarding_state& forwarding_;
     /// Owners that have not answered in time, and until when they are passed over.
--- a/bamboostream/src/Gateway/store_news.cpp
+++ b/bamboostream/src/Gateway/store_news.cpp
@@ -50,7 +50,7 @@
 
 } // namespace
 
-store_news::store_news(asio::io_context& context, link_hub& links, membership_service& membership,
+store_news::store_news(asio::io_context& context, peer_links& links, membership_service& membership,
                        forwarding_state& forwarding, deployment_state& state, store_follower& store,
                        store_duty& duty, configuration_spread& spread)
     : context_(context), links_(links), membership_(membership), forwarding_(forwarding),
--- a/bamboostream/src/Gateway/store_news.h
+++ b/bamboostream/src/Gateway/store_news.h
@@ -4,7 +4,7 @@
 #include "bamboostream/src/Gateway/configuration_spread.h"
 #include "bamboostream/src/Gateway/store_follower.h"
 #include "bamboostream/src/Gateway/telling_delay.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -27,7 +27,7 @@
 /// backend servers, and how old the view of these is. Lives on one thread. See also `store_duty`.
 class store_news final : public reading_plan {
 public:
-    store_news(boost::asio::io_context& context, link_hub& links, membership_service& membership,
+    store_news(boost::asio::io_context& context, peer_links& links, membership_service& membership,
                forwarding_state& forwarding, deployment_state& state, store_follower& store,
                store_duty& duty, configuration_spread& spread);
 
@@ -82,7 +82,7 @@
     void watch_topic(record_topic topic, bool& stale, time_point now) const;
 
     boost::asio::io_context& context_;
-    link_hub& links_;
+    peer_links& links_;
     membership_service& membership_;
     forwarding_state& forwarding_;
     deployment_state& state_;
--- a/bamboostream/src/Links/link.cpp
+++ b/bamboostream/src/Links/peer_links.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include "bamboostream/src/Core/event_log.h"
 #include "bamboostream/src/Http/address.h"
@@ -72,8 +72,8 @@
     time_point last_failure{};
 };
 
-struct link_hub_state : std::enable_shared_from_this<link_hub_state> {
-    link_hub_state(asio::io_context& c, frame_handler h) : context(c), handler(std::move(h)) {}
+struct peer_links_state : std::enable_shared_from_this<peer_links_state> {
+    peer_links_state(asio::io_context& c, frame_handler h) : context(c), handler(std::move(h)) {}
 
     asio::io_context& context;
     frame_handler handler;
@@ -119,7 +119,7 @@
 
     /// Dials once. What waited is dropped when the peer can't be reached: every sender here either
     /// repeats its message or has a timeout of its own.
-    static asio::awaitable<void> dial(std::shared_ptr<link_hub_state> hub,
+    static asio::awaitable<void> dial(std::shared_ptr<peer_links_state> hub,
                                       std::shared_ptr<link_peer> peer) {
         error_code ec;
         const time_point now = monotonic_now();
@@ -175,7 +175,7 @@
         asio::co_spawn(context, read_loop(shared_from_this(), connection), asio::detached);
     }
 
-    static asio::awaitable<void> write_loop(std::shared_ptr<link_hub_state> hub,
+    static asio::awaitable<void> write_loop(std::shared_ptr<peer_links_state> hub,
                                             connection_ptr connection) {
         error_code ec;
         std::string batch;
@@ -203,7 +203,7 @@
         }
     }
 
-    static asio::awaitable<void> read_loop(std::shared_ptr<link_hub_state> hub,
+    static asio::awaitable<void> read_loop(std::shared_ptr<peer_links_state> hub,
                                            connection_ptr connection) {
         error_code ec;
         std::array<unsigned char, 4> head{};
@@ -263,7 +263,7 @@
                        asio::detached);
     }
 
-    static asio::awaitable<void> answer(std::shared_ptr<link_hub_state> hub,
+    static asio::awaitable<void> answer(std::shared_ptr<peer_links_state> hub,
                                         connection_ptr connection,
                                         std::unique_ptr<wire::FrameT> frame) {
         const std::uint64_t correlation = frame->correlation;
@@ -282,7 +282,7 @@
         frame.sender_start_stamp = self.start_stamp;
     }
 
-    static asio::awaitable<void> accept_loop(std::shared_ptr<link_hub_state> hub) {
+    static asio::awaitable<void> accept_loop(std::shared_ptr<peer_links_state> hub) {
         error_code ec;
         while (!hub->closed) {
             tcp::socket socket(hub->context);
@@ -305,34 +305,35 @@
 
 } // namespace internal
 
-link_hub::link_hub(asio::io_context& context, frame_handler handler)
-    : state_(std::make_shared<internal::link_hub_state>(context, std::move(handler))) {}
+peer_links::peer_links(asio::io_context& context, frame_handler handler)
+    : state_(std::make_shared<internal::peer_links_state>(context, std::move(handler))) {}
 
-link_hub::~link_hub() {
+peer_links::~peer_links() {
     close();
 }
 
-std::optional<std::string> link_hub::listen(std::string_view address, std::string& why) {
+std::optional<std::string> peer_links::listen(std::string_view address, std::string& why) {
     auto acceptor = listen_on(state_->context, address, why);
     if (!acceptor) {
         return std::nullopt;
     }
     std::string bound = to_text(acceptor->local_endpoint());
     state_->acceptor = std::move(acceptor);
-    asio::co_spawn(state_->context, internal::link_hub_state::accept_loop(state_), asio::detached);
+    asio::co_spawn(state_->context, internal::peer_links_state::accept_loop(state_),
+                   asio::detached);
     return bound;
 }
 
-void link_hub::set_identity(instance_id self) {
+void peer_links::set_identity(instance_id self) {
     state_->self = std::move(self);
 }
 
-void link_hub::send(const std::string& peer, wire::FrameT frame) {
+void peer_links::send(const std::string& peer, wire::FrameT frame) {
     state_->stamp(frame);
     state_->send_to(peer, encode_frame(frame));
 }
 
-void link_hub::send_to_each(std::span<const std::string> peers, wire::FrameT frame) {
+void peer_links::send_to_each(std::span<const std::string> peers, wire::FrameT frame) {
     state_->stamp(frame);
     const std::string bytes = encode_frame(frame);
     for (const std::string& peer : peers) {
@@ -341,7 +342,7 @@
 }
 
 asio::awaitable<std::unique_ptr<wire::FrameT>>
-link_hub::call(std::string peer, wire::FrameT frame, milliseconds timeout, link_failure& why) {
+peer_links::call(std::string peer, wire::FrameT frame, milliseconds timeout, link_failure& why) {
     auto state = state_;
     const std::uint64_t correlation = state->next_correlation++;
     frame.correlation = correlation;
@@ -360,11 +361,11 @@
     co_return std::move(pending->reply);
 }
 
-link_traffic link_hub::traffic() const {
+link_traffic peer_links::traffic() const {
     return state_->traffic;
 }
 
-void link_hub::close() {
+void peer_links::close() {
     state_->closed = true;
     error_code ec;
     if (state_->acceptor) {
--- a/bamboostream/src/Links/link.h
+++ b/bamboostream/src/Links/peer_links.h
@@ -49,17 +49,17 @@
     std::unique_ptr<wire::FrameT>)>;
 
 namespace internal {
-struct link_hub_state;
+struct peer_links_state;
 }
 
 /// The connections of one instance to the others: one a peer, dialled when first needed, framed
 /// FlatBuffers over TCP with a bounded queue. Lives on the control thread.
-class link_hub {
+class peer_links {
 public:
-    link_hub(boost::asio::io_context& context, frame_handler handler);
-    ~link_hub();
-    link_hub(const link_hub&) = delete;
-    link_hub& operator=(const link_hub&) = delete;
+    peer_links(boost::asio::io_context& context, frame_handler handler);
+    ~peer_links();
+    peer_links(const peer_links&) = delete;
+    peer_links& operator=(const peer_links&) = delete;
 
     /// Accepts peers on `address`; the result is the address with the port in use.
     std::optional<std::string> listen(std::string_view address, std::string& why);
@@ -77,7 +77,7 @@
     void close();
 
 private:
-    std::shared_ptr<internal::link_hub_state> state_;
+    std::shared_ptr<internal::peer_links_state> state_;
 };
 
 } // namespace bamboostream
--- a/test/platform/peer_group.h
+++ b/test/platform/peer_group.h
@@ -63,7 +63,7 @@
 
     platform::request_translation requests;
     platform::record_translation documents;
-    link_hub links;
+    peer_links links;
     /// Null when its speed has no limit.
     std::unique_ptr<narrow_link> link;
     forwarding_state forwarding;
