--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -260,7 +260,7 @@
 
 asio::awaitable<void> forwarded_call::run() {
     if (state_.leaving) {
-        exchange_.close_after();
+        exchange_.close_after_response();
     }
     if (const auto refused = co_await prepare_by_newest()) {
         co_await reject(*refused);
--- a/bamboostream/src/Http/http_server.cpp
+++ b/bamboostream/src/Http/http_server.cpp
@@ -94,7 +94,7 @@
     asio::any_io_executor executor() override { return stream_.get_executor(); }
     bool caller_gone() const override { return gone_; }
     bool keep_alive() const { return keep_alive_ && !gone_ && complete_; }
-    void close_after() override { keep_alive_ = false; }
+    void close_after_response() override { keep_alive_ = false; }
 
     void abort() override {
         beast::error_code ec;
--- a/bamboostream/src/Http/http_server.h
+++ b/bamboostream/src/Http/http_server.h
@@ -47,7 +47,7 @@
     /// Breaks the connection off, so that an answer that has begun doesn't look complete.
     virtual void abort() = 0;
     /// Says in the head of the answer that the connection closes after it.
-    virtual void close_after() = 0;
+    virtual void close_after_response() = 0;
 
     boost::asio::awaitable<bool> respond_json(int status, std::string body,
                                               std::span<const http_field> fields = {});
