--- a/bamboostream/src/Contracts/engine.cpp
+++ b/bamboostream/src/Contracts/engine.cpp
@@ -30,7 +30,7 @@
 
 void explain(const http_failure& reason, engine_failure& why) {
     why.set(reason.code == http_error::not_connected ? engine_error::unreachable
-                                                     : engine_error::uncertain,
+                                                     : engine_error::outcome_unknown,
             reason.text);
 }
 
@@ -100,7 +100,7 @@
     }
     if (stream->status() != status_ok) {
         why.set(stream->status() == status_not_found ? engine_error::unknown_generation
-                                                     : engine_error::uncertain,
+                                                     : engine_error::outcome_unknown,
                 fmt::format("status {}", stream->status()));
         co_return nullptr;
     }
@@ -126,7 +126,7 @@
     std::string text;
     const auto value = parse_json(response->body, text);
     if (!value || !value->is_object()) {
-        why.set(engine_error::uncertain, "malformed status " + text);
+        why.set(engine_error::outcome_unknown, "malformed status " + text);
         co_return std::nullopt;
     }
     engine_status status;
--- a/bamboostream/src/Contracts/engine.h
+++ b/bamboostream/src/Contracts/engine.h
@@ -29,7 +29,7 @@
     /// The engine can't be reached.
     unreachable,
     /// The answer was lost or malformed; the generation may run.
-    uncertain,
+    outcome_unknown,
     /// The engine refused the order because of its fencing number.
     fenced,
 };
--- a/bamboostream/src/Contracts/plain_service.cpp
+++ b/bamboostream/src/Contracts/plain_service.cpp
@@ -23,7 +23,7 @@
         co_await fetch(executor, backend.text(), std::move(request), timeout, reason);
     if (!response) {
         const bool unsent = reason.code == http_error::not_connected;
-        why.set(unsent ? service_error::not_run : service_error::uncertain, reason.text);
+        why.set(unsent ? service_error::not_run : service_error::outcome_unknown, reason.text);
         co_return std::nullopt;
     }
     if (response->field(not_run_field) == "true") {
--- a/bamboostream/src/Contracts/plain_service.h
+++ b/bamboostream/src/Contracts/plain_service.h
@@ -18,7 +18,7 @@
     /// Not a byte of the call was sent, or the service said itself that it did not run it.
     not_run,
     /// The call may have run.
-    uncertain,
+    outcome_unknown,
 };
 using service_failure = failure<service_error>;
 
--- a/bamboostream/src/Entry/service_handler.cpp
+++ b/bamboostream/src/Entry/service_handler.cpp
@@ -132,7 +132,7 @@
         }
         co_return;
     }
-    if (ended.why.code == service_error::uncertain) {
+    if (ended.why.code == service_error::outcome_unknown) {
         lost_run run{digest(), call_.workspace, backend, start_stamp, false};
         co_await core_.quarantine->examine(std::move(run));
     }
@@ -184,7 +184,7 @@
 asio::awaitable<void> service_handler::run_idempotent() {
     const retry_permit permit(idempotent_call{call_.key});
     attempt last = co_await try_replica();
-    bool uncertain = last.why.code == service_error::uncertain;
+    bool outcome_unknown = last.why.code == service_error::outcome_unknown;
     for (int tries = 1;
          tries < most_tries && !last.answer && !last.held_for && left() > retry_pause; ++tries) {
         const bool allowed = co_await core_.on_control(
@@ -193,9 +193,9 @@
             break;
         }
         last = co_await try_again(permit);
-        uncertain = uncertain || last.why.code == service_error::uncertain;
+        outcome_unknown = outcome_unknown || last.why.code == service_error::outcome_unknown;
     }
-    const std::string_view outcome = uncertain ? "unknown" : "not_run";
+    const std::string_view outcome = outcome_unknown ? "unknown" : "not_run";
     if (last.answer) {
         co_await answer_with(last.answer->status, std::move(last.answer->body));
     } else if (last.held_for) {
