--- a/bamboostream/src/Contracts/plain_service.cpp
+++ b/bamboostream/src/Contracts/plain_service.cpp
@@ -8,7 +8,7 @@
 
 namespace bamboostream {
 
-boost::asio::awaitable<std::optional<service_answer>>
+boost::asio::awaitable<std::optional<service_response>>
 call_service(boost::asio::any_io_executor executor, backend_id backend, const service_call& call,
              milliseconds timeout, service_failure& why) {
     http_request request =
@@ -30,7 +30,7 @@
         why.set(service_error::not_run, fmt::format("the service refused: {}", response->status));
         co_return std::nullopt;
     }
-    service_answer answer;
+    service_response answer;
     answer.status = response->status;
     answer.body = response->body;
     answer.leaving = response->field(backend_state_field) == "leaving";
--- a/bamboostream/src/Contracts/plain_service.h
+++ b/bamboostream/src/Contracts/plain_service.h
@@ -32,7 +32,7 @@
 };
 
 /// What the service answered.
-struct service_answer {
+struct service_response {
     int status = 0;
     std::string body;
     bool leaving = false;
@@ -40,7 +40,7 @@
 };
 
 /// Sends the call once and waits for its answer.
-boost::asio::awaitable<std::optional<service_answer>>
+boost::asio::awaitable<std::optional<service_response>>
 call_service(boost::asio::any_io_executor executor, backend_id backend, const service_call& call,
              milliseconds timeout, service_failure& why);
 
--- a/bamboostream/src/Entry/service_handler.h
+++ b/bamboostream/src/Entry/service_handler.h
@@ -23,7 +23,7 @@
 private:
     /// One try on one replica.
     struct attempt {
-        std::optional<service_answer> answer;
+        std::optional<service_response> answer;
         service_failure why;
         bool no_replica = false;
         /// The call wasn't sent because of what it does to servers; for how much longer.
