--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -11,7 +11,7 @@
 #include "bamboostream/Routing"
 #include "bamboostream/Streams"
 #include "bamboostream/src/Control/frames.h"
-#include "platform/record_translation.h"
+#include "platform/platform_record_codec.h"
 #include "test/platform/large_document.h"
 
 #include <boost/json.hpp>
@@ -161,7 +161,7 @@
 
 document_figures documents() {
     document_figures out;
-    const platform::record_translation codec;
+    const platform::platform_record_codec codec;
     for (const std::size_t routes : {50, 1'500, 20'000}) {
         const std::string before = test::large_document_text(1, routes, 3);
         const std::string after = test::large_document_text(2, routes + 1, 3);
--- a/test/platform/admission_load_test.cpp
+++ b/test/platform/admission_load_test.cpp
@@ -3,7 +3,7 @@
 
 #include "bamboostream/Forwarding"
 #include "bamboostream/Limits"
-#include "platform/request_translation.h"
+#include "platform/platform_request_codec.h"
 #include "test/platform/decision_helpers.h"
 #include "test/platform/modelled_engines.h"
 
@@ -193,7 +193,7 @@
     seconds crowd_;
     std::mt19937_64 random_;
     time_point now_ = start;
-    const platform::request_translation codec_;
+    const platform::platform_request_codec codec_;
     forwarding_state state_;
     std::map<backend_id, std::unique_ptr<engine_model>> models_;
     std::map<std::uint64_t, generation> running_;
--- a/test/platform/admission_test.cpp
+++ b/test/platform/admission_test.cpp
@@ -4,7 +4,7 @@
 #include "bamboostream/Forwarding"
 #include "bamboostream/Limits"
 #include "bamboostream/Routing"
-#include "platform/request_translation.h"
+#include "platform/platform_request_codec.h"
 #include "test/platform/decision_helpers.h"
 
 #include <gtest/gtest.h>
@@ -63,7 +63,7 @@
 
 // The least loaded engine has no memory left for the request and another one has: it goes there.
 TEST(engine_choice_test, one_that_admits_goes_before_a_better_one_that_does_not) {
-    const platform::request_translation codec;
+    const platform::platform_request_codec codec;
     forwarding_state state(codec, failure_domain_id("norra"), {}, 1);
     state.registry.learn(backend("full"), start);
     state.registry.learn(backend("queued"), start);
--- a/test/platform/configuration_reader_test.cpp
+++ b/test/platform/configuration_reader_test.cpp
@@ -1,8 +1,8 @@
 // Configurations that are read beside the thread of the requests.
 
 #include "bamboostream/Gateway"
-#include "platform/record_translation.h"
-#include "platform/request_translation.h"
+#include "platform/platform_record_codec.h"
+#include "platform/platform_request_codec.h"
 #include "test/platform/document_play.h"
 
 #include <gtest/gtest.h>
@@ -42,8 +42,8 @@
     }
 
     boost::asio::io_context context_{1};
-    const platform::request_translation requests_;
-    const platform::record_translation records_;
+    const platform::platform_request_codec requests_;
+    const platform::platform_record_codec records_;
     forwarding_state forwarding_;
     deployment_state state_{forwarding_, records_};
     configuration_reader reader_{context_, records_};
--- a/test/platform/cordon_test.cpp
+++ b/test/platform/cordon_test.cpp
@@ -1,8 +1,8 @@
 // Failure domains that the operator takes out of service: how the order becomes known and what it
 // keeps from being sent.
 
-#include "platform/record_translation.h"
-#include "platform/request_translation.h"
+#include "platform/platform_record_codec.h"
+#include "platform/platform_request_codec.h"
 #include "test/platform/decision_helpers.h"
 #include "test/platform/forwarding_fixture.h"
 #include "test/platform/peer_group.h"
@@ -45,7 +45,7 @@
                          [](const auto& info) { return info.param.name; });
 
 TEST_P(cordon_key, names_a_failure_domain_or_nothing) {
-    const platform::record_translation records;
+    const platform::platform_record_codec records;
     const auto domain = records.cordoned_domain(GetParam().key);
     EXPECT_EQ(domain ? domain->text() : "", GetParam().domain);
 }
@@ -99,8 +99,8 @@
         }
     }
 
-    const platform::request_translation requests_;
-    const platform::record_translation records_;
+    const platform::platform_request_codec requests_;
+    const platform::platform_record_codec records_;
     forwarding_state forwarding_;
     deployment_state state_;
 };
--- a/test/platform/document_transfer_test.cpp
+++ b/test/platform/document_transfer_test.cpp
@@ -3,8 +3,8 @@
 
 #include "bamboostream/Configuration"
 #include "bamboostream/Gateway"
-#include "platform/record_translation.h"
-#include "platform/request_translation.h"
+#include "platform/platform_record_codec.h"
+#include "platform/platform_request_codec.h"
 #include "test/platform/decision_helpers.h"
 #include "test/platform/document_play.h"
 
@@ -88,8 +88,8 @@
 
 // The operator writes 50 MB. The version in force stays.
 TEST(deployment_state_test, a_document_beyond_all_measure_is_refused) {
-    const platform::request_translation requests;
-    const platform::record_translation records;
+    const platform::platform_request_codec requests;
+    const platform::platform_record_codec records;
     forwarding_state forwarding(requests, failure_domain_id("z"), {}, 1);
     deployment_state state(forwarding, records);
     std::string blanks;
--- a/test/platform/evacuation_test.cpp
+++ b/test/platform/evacuation_test.cpp
@@ -2,7 +2,7 @@
 
 #include "bamboostream/Evacuation"
 #include "bamboostream/src/Control/periodic.h"
-#include "platform/request_translation.h"
+#include "platform/platform_request_codec.h"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -121,7 +121,7 @@
     }
 
     asio::io_context context_{1};
-    platform::request_translation codec_;
+    platform::platform_request_codec codec_;
     forwarding_state state_;
     scripted_mover mover_;
     scripted_peers peers_;
--- a/test/platform/forwarding_fixture.h
+++ b/test/platform/forwarding_fixture.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "bamboostream/Forwarding"
-#include "platform/request_translation.h"
+#include "platform/platform_request_codec.h"
 #include "test/platform/scripted_backend.h"
 
 #include <boost/asio/io_context.hpp>
@@ -60,7 +60,7 @@
     void rebuild();
 
     boost::asio::io_context context_{1};
-    platform::request_translation codec_;
+    platform::platform_request_codec codec_;
     routing_configuration configuration_;
     std::unique_ptr<forwarding_state> state_;
     std::unique_ptr<http_server> server_;
--- a/test/platform/peer_group.h
+++ b/test/platform/peer_group.h
@@ -2,8 +2,8 @@
 
 #include "bamboostream/Gateway"
 #include "bamboostream/src/Control/frames.h"
-#include "platform/record_translation.h"
-#include "platform/request_translation.h"
+#include "platform/platform_record_codec.h"
+#include "platform/platform_request_codec.h"
 #include "test/platform/narrow_link.h"
 
 #include <boost/asio/io_context.hpp>
@@ -61,8 +61,8 @@
     boost::asio::awaitable<std::unique_ptr<wire::FrameT>>
     handle(std::unique_ptr<wire::FrameT> frame);
 
-    platform::request_translation requests;
-    platform::record_translation documents;
+    platform::platform_request_codec requests;
+    platform::platform_record_codec documents;
     peer_links links;
     /// Null when its speed has no limit.
     std::unique_ptr<narrow_link> link;
--- a/test/platform/translation_test.cpp
+++ b/test/platform/platform_codec_test.cpp
@@ -1,9 +1,9 @@
 // The platform's records, settings and store pages as typed values.
 
 #include "bamboostream/Gateway"
-#include "platform/directory_translation.h"
-#include "platform/record_translation.h"
-#include "platform/request_translation.h"
+#include "platform/platform_directory_codec.h"
+#include "platform/platform_record_codec.h"
+#include "platform/platform_request_codec.h"
 #include "platform/settings_file.h"
 #include "platform/store_client.h"
 
@@ -27,9 +27,9 @@
   "idle_timeout_ms":15000},
  "tenants":[{"name":"t","api_keys":["k1","k2"],"priority":1}],"unknown":{}})";
 
-TEST(record_translation_test, reads_a_configuration) {
+TEST(platform_record_codec_test, reads_a_configuration) {
     std::string why;
-    const auto c = record_translation().read_configuration(document, why);
+    const auto c = platform_record_codec().read_configuration(document, why);
     ASSERT_TRUE(c) << why;
     EXPECT_EQ(c->version, 7);
     ASSERT_EQ(c->routes.size(), 5u);
@@ -58,14 +58,14 @@
 
 TEST_P(bad_document, is_refused_with_a_reason) {
     std::string why;
-    EXPECT_FALSE(record_translation().read_configuration(GetParam(), why));
+    EXPECT_FALSE(platform_record_codec().read_configuration(GetParam(), why));
     EXPECT_FALSE(why.empty());
-    EXPECT_FALSE(record_translation().read_backend("i-1", GetParam(), time_point{}, why));
+    EXPECT_FALSE(platform_record_codec().read_backend("i-1", GetParam(), time_point{}, why));
 }
 
-TEST(record_translation_test, reads_an_entry) {
+TEST(platform_record_codec_test, reads_an_entry) {
     std::string why;
-    const auto b = record_translation().read_backend(
+    const auto b = platform_record_codec().read_backend(
         "i-1",
         R"({"service":"s","address":"1.2.3.4:5","zone":"z","version":"v1","slots":32,
             "state":"draining","cold_left_ms":500,"sequence":4,"born":1790000000123})",
@@ -124,12 +124,12 @@
 // sent there would reach nobody knows what.
 TEST_P(foreign_entry, names_no_server) {
     std::string why;
-    ASSERT_TRUE(record_translation().read_backend("i-1", sound_entry, time_point{}, why)) << why;
+    ASSERT_TRUE(platform_record_codec().read_backend("i-1", sound_entry, time_point{}, why)) << why;
     std::string entry = sound_entry;
     const std::size_t at = entry.find(GetParam().from);
     ASSERT_NE(at, std::string::npos);
     entry.replace(at, GetParam().from.size(), GetParam().to);
-    EXPECT_FALSE(record_translation().read_backend("i-1", entry, time_point{}, why));
+    EXPECT_FALSE(platform_record_codec().read_backend("i-1", entry, time_point{}, why));
     EXPECT_FALSE(why.empty());
 }
 
@@ -144,8 +144,8 @@
 // Entries that can't be read stand among sound ones, at the start and later. The sound ones hold,
 // and a server that is known stays known while its entry can't be read.
 TEST_P(spoiled_neighbour, leaves_sound_entries_alone) {
-    request_translation requests;
-    record_translation records;
+    platform_request_codec requests;
+    platform_record_codec records;
     forwarding_state forwarding(requests, failure_domain_id("z"), {}, 1);
     deployment_state state(forwarding, records);
     state.take_records(record_topic::backend_entries, spoiled_entries, GetParam(), time_point{});
@@ -249,7 +249,7 @@
 // The store loses its newest records and hands out an older configuration, or a peer that lags
 // does. Taking it back would serve removed routes and keys again; the newest version stays.
 TEST(deployment_state_test, never_goes_back_to_an_older_configuration) {
-    const record_translation codec;
+    const platform_record_codec codec;
     class no_requests final : public request_codec {
         std::optional<forward_request> read_request(const http_request&,
                                                     std::string&) const override {
--- a/test/platform/store_follower_test.cpp
+++ b/test/platform/store_follower_test.cpp
@@ -2,8 +2,8 @@
 
 #include "bamboostream/Gateway"
 #include "bamboostream/src/Control/periodic.h"
-#include "platform/record_translation.h"
-#include "platform/request_translation.h"
+#include "platform/platform_record_codec.h"
+#include "platform/platform_request_codec.h"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -94,8 +94,8 @@
     }
 
     asio::io_context context_{1};
-    const platform::request_translation requests_;
-    const platform::record_translation records_;
+    const platform::platform_request_codec requests_;
+    const platform::platform_record_codec records_;
     forwarding_state forwarding_;
     deployment_state state_;
     slow_store store_;
--- a/test/platform/store_view_test.cpp
+++ b/test/platform/store_view_test.cpp
@@ -3,8 +3,8 @@
 
 #include "bamboostream/Gateway"
 #include "bamboostream/src/Gateway/peer_frames.h"
-#include "platform/record_translation.h"
-#include "platform/request_translation.h"
+#include "platform/platform_record_codec.h"
+#include "platform/platform_request_codec.h"
 #include "test/platform/decision_helpers.h"
 
 #include <fmt/format.h>
@@ -361,8 +361,8 @@
         return out;
     }
 
-    const platform::request_translation requests_;
-    const platform::record_translation records_;
+    const platform::platform_request_codec requests_;
+    const platform::platform_record_codec records_;
     forwarding_state forwarding_;
     deployment_state state_;
 };
