--- a/bamboostream/src/Core/event_log.cpp
+++ b/bamboostream/src/Core/event_log.cpp
@@ -20,8 +20,8 @@
 /// What all threads of a program share for writing lines.
 struct log_output {
     std::mutex mutex;
-    line_limiter limiter;
-    line_buffer waiting;
+    log_rate_limiter limiter;
+    log_line_buffer waiting;
 };
 
 log_output& output() {
@@ -36,7 +36,7 @@
 
 /// Writes each line with one call, so that lines of several threads don't mix, and only while that
 /// doesn't block: a reader of the log that stands still would stop the process otherwise.
-void write_while_room(line_buffer& waiting) {
+void write_while_room(log_line_buffer& waiting) {
     while (const std::string* line = waiting.front()) {
         if (!reader_has_room() || write(STDOUT_FILENO, line->data(), line->size()) < 0) {
             return;
@@ -92,7 +92,7 @@
 void write_log_line(const event_kind& kind, std::string_view detail) {
     log_output& out = output();
     const std::lock_guard lock(out.mutex);
-    const line_permit permit = out.limiter.ask(kind.number, monotonic_now());
+    const log_permit permit = out.limiter.try_acquire(kind.number, monotonic_now());
     if (!permit.write) {
         return;
     }
@@ -102,10 +102,10 @@
             out.waiting.add(format_line(events::log_lines_lost, fmt::format("lines={}", lost)));
         }
     }
-    std::string line =
-        permit.left_out == 0
-            ? format_line(kind, detail)
-            : format_line(kind, fmt::format("{} left_out_before={}", detail, permit.left_out));
+    std::string line = permit.suppressed_lines == 0
+                           ? format_line(kind, detail)
+                           : format_line(kind, fmt::format("{} left_out_before={}", detail,
+                                                           permit.suppressed_lines));
     // Escapes make a line of control characters longer than a pipe takes at once.
     if (line.size() <= most_line_bytes) {
         out.waiting.add(std::move(line));
--- a/bamboostream/src/Core/log_limit.cpp
+++ b/bamboostream/src/Core/log_limit.cpp
@@ -15,22 +15,22 @@
 
 } // namespace
 
-line_permit line_limiter::ask(int event_number, time_point now) {
+log_permit log_rate_limiter::try_acquire(int event_number, time_point now) {
     const auto [found, is_new] = kinds_.try_emplace(event_number, allowance{most_at_once, now, 0});
     allowance& kind = found->second;
     const double since_s = to_milliseconds(now - kind.at) / 1000.0;
     kind.lines = std::min(most_at_once, kind.lines + since_s * lines_a_second);
     kind.at = now;
     if (kind.lines < 1.0) {
-        ++kind.left_out;
+        ++kind.suppressed_lines;
         return {};
     }
     kind.lines -= 1.0;
-    return {true, std::exchange(kind.left_out, 0)};
+    return {true, std::exchange(kind.suppressed_lines, 0)};
 }
 
-void line_buffer::add(std::string line) {
-    if (bytes_ + line.size() > most_bytes) {
+void log_line_buffer::add(std::string line) {
+    if (bytes_ + line.size() > max_bytes) {
         ++dropped_;
         return;
     }
@@ -38,12 +38,12 @@
     lines_.push_back(std::move(line));
 }
 
-void line_buffer::pop() {
+void log_line_buffer::pop() {
     bytes_ -= lines_.front().size();
     lines_.pop_front();
 }
 
-std::uint64_t line_buffer::take_dropped() {
+std::uint64_t log_line_buffer::take_dropped() {
     return dropped_ - std::exchange(said_, dropped_);
 }
 
--- a/bamboostream/src/Core/log_limit.h
+++ b/bamboostream/src/Core/log_limit.h
@@ -11,34 +11,34 @@
 namespace bamboostream {
 
 /// Whether a line of an event may be written now, and how many were left out before it.
-struct line_permit {
+struct log_permit {
     bool write = false;
-    std::uint64_t left_out = 0;
+    std::uint64_t suppressed_lines = 0;
 };
 
 /// Bounds how many lines a second each kind of event writes. A fault that fails every request would
 /// otherwise write as many lines as there are requests to fail, and the lines that tell its cause
 /// would drown. Each kind has its own bound, so a flood of one leaves the others whole; what was
 /// left out is counted and said with the next line of that kind.
-class line_limiter {
+class log_rate_limiter {
 public:
-    line_permit ask(int event_number, time_point now);
+    log_permit try_acquire(int event_number, time_point now);
 
 private:
     struct allowance {
         double lines = 0.0;
         time_point at;
-        std::uint64_t left_out = 0;
+        std::uint64_t suppressed_lines = 0;
     };
     std::unordered_map<int, allowance> kinds_;
 };
 
 /// Lines that wait until standard output takes them. A reader of the log that stands still must not
 /// block the process, and with it every request; a short stall should not lose lines either.
-class line_buffer {
+class log_line_buffer {
 public:
     /// Bytes that wait at most: some ten seconds of a busy instance.
-    static constexpr std::size_t most_bytes = 256 * 1024;
+    static constexpr std::size_t max_bytes = 256 * 1024;
 
     /// Keeps the line, or drops and counts it when the buffer is full.
     void add(std::string line);
--- a/test/log_limit_test.cpp
+++ b/test/log_limit_test.cpp
@@ -16,33 +16,35 @@
 
 // Every request fails for two seconds, 5,000 a second. An operator sees the first 2,000 lines and
 // then 200 a second with the count of those left out; lines of another kind are all written.
-TEST(line_limiter_test, bounds_a_flood_and_says_what_is_missing) {
-    line_limiter limiter;
+TEST(log_rate_limiter_test, bounds_a_flood_and_says_what_is_missing) {
+    log_rate_limiter limiter;
     std::uint64_t written = 0;
-    std::uint64_t left_out = 0;
+    std::uint64_t suppressed_lines = 0;
     constexpr int lines = 10'000;
     for (int i = 0; i < lines; ++i) {
-        const line_permit permit = limiter.ask(431, start + microseconds(200 * i));
+        const log_permit permit = limiter.try_acquire(431, start + microseconds(200 * i));
         written += permit.write ? 1 : 0;
-        left_out += permit.left_out;
-        EXPECT_TRUE(i % 100 != 0 || limiter.ask(300, start + microseconds(200 * i)).write) << i;
+        suppressed_lines += permit.suppressed_lines;
+        EXPECT_TRUE(i % 100 != 0 || limiter.try_acquire(300, start + microseconds(200 * i)).write)
+            << i;
     }
     EXPECT_GE(written, 2'300u);
     EXPECT_LE(written, 2'500u);
-    const line_permit after = limiter.ask(431, start + seconds(10));
+    const log_permit after = limiter.try_acquire(431, start + seconds(10));
     EXPECT_TRUE(after.write);
-    EXPECT_EQ(written + left_out + after.left_out, static_cast<std::uint64_t>(lines));
+    EXPECT_EQ(written + suppressed_lines + after.suppressed_lines,
+              static_cast<std::uint64_t>(lines));
 }
 
 // The reader stands still. Lines wait up to a bound; what doesn't fit is dropped and counted, and
 // the count is said once.
-TEST(line_buffer_test, keeps_the_oldest_lines_and_counts_what_it_drops) {
-    line_buffer waiting;
+TEST(log_line_buffer_test, keeps_the_oldest_lines_and_counts_what_it_drops) {
+    log_line_buffer waiting;
     const std::string line(1'024, 'x');
     for (int i = 0; i < 300; ++i) {
         waiting.add(line);
     }
-    EXPECT_EQ(waiting.dropped(), 300 - line_buffer::most_bytes / line.size());
+    EXPECT_EQ(waiting.dropped(), 300 - log_line_buffer::max_bytes / line.size());
     EXPECT_EQ(waiting.take_dropped(), waiting.dropped());
     EXPECT_EQ(waiting.take_dropped(), 0u);
     waiting.pop();
