--- a/bamboostream/src/Contracts/engine.cpp
+++ b/bamboostream/src/Contracts/engine.cpp
@@ -28,13 +28,13 @@
     });
 }
 
-void explain(const http_failure& reason, engine_failure& why) {
+void set_failure(const http_failure& reason, engine_failure& why) {
     why.set(reason.code == http_error::not_connected ? engine_error::unreachable
                                                      : engine_error::outcome_unknown,
             reason.text);
 }
 
-std::vector<std::string> texts_at(const json::value& value, std::string_view name) {
+std::vector<std::string> string_array_at(const json::value& value, std::string_view name) {
     std::vector<std::string> out;
     const json::value* found = value.is_object() ? value.get_object().if_contains(name) : nullptr;
     if (found == nullptr || !found->is_array()) {
@@ -73,7 +73,7 @@
     auto stream =
         co_await open_http_stream(executor_, engine_.text(), std::move(message), timeout, reason);
     if (!stream) {
-        explain(reason, why);
+        set_failure(reason, why);
         co_return nullptr;
     }
     if (stream->status() != status_ok) {
@@ -95,7 +95,7 @@
     auto stream =
         co_await open_http_stream(executor_, engine_.text(), std::move(message), timeout, reason);
     if (!stream) {
-        explain(reason, why);
+        set_failure(reason, why);
         co_return nullptr;
     }
     if (stream->status() != status_ok) {
@@ -120,7 +120,7 @@
     const auto response =
         co_await fetch(executor_, engine_.text(), std::move(message), timeout, reason);
     if (!response || response->status != status_ok) {
-        explain(reason, why);
+        set_failure(reason, why);
         co_return std::nullopt;
     }
     std::string text;
@@ -134,7 +134,7 @@
     status.leaving = text_at(*value, "state") == "leaving";
     status.model = text_at(*value, "model");
     status.version = text_at(*value, "version");
-    status.adapters = texts_at(*value, "adapters");
+    status.adapters = string_array_at(*value, "adapters");
     status.role = text_at(*value, "role");
     status.loading = text_at(*value, "state") == "loading";
     if (const json::value* load = value->get_object().if_contains("load")) {
@@ -153,7 +153,7 @@
     const auto response =
         co_await fetch(executor_, engine_.text(), std::move(message), timeout, reason);
     if (!response) {
-        explain(reason, why);
+        set_failure(reason, why);
         co_return false;
     }
     if (response->status != status_ok) {
--- a/bamboostream/src/Contracts/json_reader.cpp
+++ b/bamboostream/src/Contracts/json_reader.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-constexpr std::size_t deepest_nesting = 32;
-constexpr std::size_t longest_quote = 60;
+constexpr std::size_t max_nesting_depth = 32;
+constexpr std::size_t max_quoted_bytes = 60;
 
 std::string quote(const boost::json::value& value) {
     std::string text = boost::json::serialize(value);
-    if (text.size() > longest_quote) {
-        text = text.substr(0, longest_quote) + "…";
+    if (text.size() > max_quoted_bytes) {
+        text = text.substr(0, max_quoted_bytes) + "…";
     }
     return text;
 }
 
-const boost::json::value* find_at(const boost::json::value& value, std::string_view name) {
+const boost::json::value* find_member(const boost::json::value& value, std::string_view name) {
     return value.is_object() ? value.get_object().if_contains(name) : nullptr;
 }
 
@@ -38,7 +38,7 @@
 std::optional<boost::json::value> parse_json(std::string_view text, std::string& why,
                                              boost::json::storage_ptr storage) {
     boost::json::parse_options options;
-    options.max_depth = deepest_nesting;
+    options.max_depth = max_nesting_depth;
     boost::json::error_code ec;
     boost::json::value value =
         boost::json::parse({text.data(), text.size()}, ec, std::move(storage), options);
@@ -66,7 +66,7 @@
 }
 
 const boost::json::value* json_reader::child(std::string_view name) {
-    asked_.emplace_back(name);
+    requested_.emplace_back(name);
     return object_ == nullptr ? nullptr : object_->if_contains({name.data(), name.size()});
 }
 
@@ -81,65 +81,69 @@
     return {};
 }
 
-std::string json_reader::text_or(std::string_view name, std::string_view otherwise) {
+std::string json_reader::text_or(std::string_view name, std::string_view default_value) {
     const boost::json::value* value = child(name);
     if (value == nullptr) {
-        return std::string(otherwise);
+        return std::string(default_value);
     }
     if (value->is_string()) {
         return std::string(value->get_string());
     }
     error(name, quote(*value), "a text");
-    return std::string(otherwise);
+    return std::string(default_value);
 }
 
-std::int64_t json_reader::number(std::string_view name, std::int64_t least, std::int64_t most) {
+std::int64_t json_reader::number(std::string_view name, std::int64_t min_value,
+                                 std::int64_t max_value) {
     const boost::json::value* value = child(name);
     if (value == nullptr) {
         if (object_ != nullptr) {
-            error(name, "nothing", fmt::format("a whole number from {} to {}", least, most));
+            error(name, "nothing",
+                  fmt::format("a whole number from {} to {}", min_value, max_value));
         }
-        return least;
+        return min_value;
     }
     boost::json::error_code ec;
-    const auto parsed = value->is_number() ? value->to_number<std::int64_t>(ec) : least - 1;
-    if (ec || !value->is_number() || parsed < least || parsed > most) {
-        error(name, quote(*value), fmt::format("a whole number from {} to {}", least, most));
-        return least;
+    const auto parsed = value->is_number() ? value->to_number<std::int64_t>(ec) : min_value - 1;
+    if (ec || !value->is_number() || parsed < min_value || parsed > max_value) {
+        error(name, quote(*value),
+              fmt::format("a whole number from {} to {}", min_value, max_value));
+        return min_value;
     }
     return parsed;
 }
 
-std::int64_t json_reader::number_or(std::string_view name, std::int64_t otherwise,
-                                    std::int64_t least, std::int64_t most) {
+std::int64_t json_reader::number_or(std::string_view name, std::int64_t default_value,
+                                    std::int64_t min_value, std::int64_t max_value) {
     if (object_ == nullptr || !object_->contains({name.data(), name.size()})) {
-        asked_.emplace_back(name);
-        return otherwise;
+        requested_.emplace_back(name);
+        return default_value;
     }
-    return number(name, least, most);
+    return number(name, min_value, max_value);
 }
 
-double json_reader::real_or(std::string_view name, double otherwise, double least, double most) {
+double json_reader::real_or(std::string_view name, double default_value, double min_value,
+                            double max_value) {
     const boost::json::value* value = child(name);
     if (value == nullptr) {
-        return otherwise;
+        return default_value;
     }
     const std::optional<double> parsed = as_real(*value);
-    if (!parsed || *parsed < least || *parsed > most) {
-        error(name, quote(*value), fmt::format("a number from {} to {}", least, most));
-        return otherwise;
+    if (!parsed || *parsed < min_value || *parsed > max_value) {
+        error(name, quote(*value), fmt::format("a number from {} to {}", min_value, max_value));
+        return default_value;
     }
     return *parsed;
 }
 
-bool json_reader::flag_or(std::string_view name, bool otherwise) {
+bool json_reader::flag_or(std::string_view name, bool default_value) {
     const boost::json::value* value = child(name);
     if (value == nullptr) {
-        return otherwise;
+        return default_value;
     }
     if (!value->is_bool()) {
         error(name, quote(*value), "true or false");
-        return otherwise;
+        return default_value;
     }
     return value->get_bool();
 }
@@ -166,32 +170,32 @@
     }
     for (const auto& member : *object_) {
         const std::string_view name(member.key().data(), member.key().size());
-        if (std::find(asked_.begin(), asked_.end(), name) == asked_.end()) {
+        if (std::find(requested_.begin(), requested_.end(), name) == requested_.end()) {
             error(name, quote(member.value()), "no such field");
         }
     }
 }
 
 std::string text_at(const boost::json::value& value, std::string_view name) {
-    const boost::json::value* found = find_at(value, name);
+    const boost::json::value* found = find_member(value, name);
     return found != nullptr && found->is_string() ? std::string(found->get_string())
                                                   : std::string{};
 }
 
 std::int64_t number_at(const boost::json::value& value, std::string_view name,
-                       std::int64_t otherwise) {
-    const boost::json::value* found = find_at(value, name);
+                       std::int64_t default_value) {
+    const boost::json::value* found = find_member(value, name);
     if (found == nullptr || !found->is_number()) {
-        return otherwise;
+        return default_value;
     }
     boost::json::error_code ec;
     const auto parsed = found->to_number<std::int64_t>(ec);
-    return ec ? otherwise : parsed;
+    return ec ? default_value : parsed;
 }
 
-double real_at(const boost::json::value& value, std::string_view name, double otherwise) {
-    const boost::json::value* found = find_at(value, name);
-    return found == nullptr ? otherwise : as_real(*found).value_or(otherwise);
+double real_at(const boost::json::value& value, std::string_view name, double default_value) {
+    const boost::json::value* found = find_member(value, name);
+    return found == nullptr ? default_value : as_real(*found).value_or(default_value);
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Contracts/json_reader.h
+++ b/bamboostream/src/Contracts/json_reader.h
@@ -36,12 +36,12 @@
 
     /// A required text that isn't empty.
     std::string text(std::string_view name);
-    std::string text_or(std::string_view name, std::string_view otherwise);
-    std::int64_t number(std::string_view name, std::int64_t least, std::int64_t most);
-    std::int64_t number_or(std::string_view name, std::int64_t otherwise, std::int64_t least,
-                           std::int64_t most);
-    double real_or(std::string_view name, double otherwise, double least, double most);
-    bool flag_or(std::string_view name, bool otherwise);
+    std::string text_or(std::string_view name, std::string_view default_value);
+    std::int64_t number(std::string_view name, std::int64_t min_value, std::int64_t max_value);
+    std::int64_t number_or(std::string_view name, std::int64_t default_value,
+                           std::int64_t min_value, std::int64_t max_value);
+    double real_or(std::string_view name, double default_value, double min_value, double max_value);
+    bool flag_or(std::string_view name, bool default_value);
     /// A child value, or null when absent.
     const boost::json::value* child(std::string_view name);
     /// An object child's members, none when absent.
@@ -59,13 +59,13 @@
     const boost::json::object* object_ = nullptr;
     std::string path_;
     std::vector<validation_error>* errors_;
-    std::vector<std::string> asked_;
+    std::vector<std::string> requested_;
 };
 
 /// Field of an answer from an outside system, where a missing or wrong one is just absent.
 std::string text_at(const boost::json::value& value, std::string_view name);
 std::int64_t number_at(const boost::json::value& value, std::string_view name,
-                       std::int64_t otherwise = 0);
-double real_at(const boost::json::value& value, std::string_view name, double otherwise = 0.0);
+                       std::int64_t default_value = 0);
+double real_at(const boost::json::value& value, std::string_view name, double default_value = 0.0);
 
 } // namespace bamboostream
--- a/bamboostream/src/Contracts/log_service.cpp
+++ b/bamboostream/src/Contracts/log_service.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr int status_ok = 200;
-constexpr int records_a_page = 2000;
+constexpr int records_per_page = 2000;
 
-log_error from_http(http_error code) {
+log_error to_log_error(http_error code) {
     return code == http_error::not_connected ? log_error::not_appended : log_error::unknown;
 }
 
@@ -48,7 +48,7 @@
     http_failure reason;
     const auto response = co_await fetch(executor_, address_, std::move(request), timeout_, reason);
     if (!response) {
-        why.set(from_http(reason.code), reason.text);
+        why.set(to_log_error(reason.code), reason.text);
         co_return std::nullopt;
     }
     if (response->status != status_ok) {
@@ -72,7 +72,7 @@
 http_log_service::read(std::string stream, std::int64_t from, milliseconds wait, log_failure& why) {
     http_request request = make_request(
         "GET", fmt::format("/v1/streams/{}/records?from={}&limit={}&wait_ms={}",
-                           percent_encode(stream), from, records_a_page, wait.count()));
+                           percent_encode(stream), from, records_per_page, wait.count()));
     http_failure reason;
     const auto response =
         co_await fetch(executor_, address_, std::move(request), timeout_ + wait, reason);
--- a/bamboostream/src/Contracts/server_check.cpp
+++ b/bamboostream/src/Contracts/server_check.cpp
@@ -14,19 +14,19 @@
 
 namespace {
 
-constexpr milliseconds connect_limit{100};
+constexpr milliseconds connect_timeout{100};
 /// An ending process closes its sockets within a few milliseconds of each other.
 constexpr milliseconds observation_time{20};
-constexpr int most_connections = 3;
-constexpr milliseconds pause_between{10};
-constexpr milliseconds longest_check =
-    most_connections * (connect_limit + observation_time + pause_between);
+constexpr int max_attempts = 3;
+constexpr milliseconds retry_delay{10};
+constexpr milliseconds max_check_duration =
+    max_attempts * (connect_timeout + observation_time + retry_delay);
 /// Requests on one server lose their connections within a few milliseconds of each other.
-constexpr milliseconds validity{50};
+constexpr milliseconds result_lifetime{50};
 
 /// Closes the socket at `limit`, unless it has been destroyed.
-void close_at(asio::steady_timer& timer, const std::shared_ptr<asio::ip::tcp::socket>& socket,
-              duration limit) {
+void close_after(asio::steady_timer& timer, const std::shared_ptr<asio::ip::tcp::socket>& socket,
+                 duration limit) {
     timer.expires_after(limit);
     timer.async_wait([weak = std::weak_ptr(socket)](const boost::system::error_code& error) {
         const auto open = weak.lock();
@@ -38,46 +38,46 @@
 }
 
 /// What one connection shows.
-enum class connection_fate : std::uint8_t { refused, no_answer, closed, kept };
+enum class probe_result : std::uint8_t { refused, no_answer, closed, held_open };
 
-asio::awaitable<connection_fate> try_to_connect(asio::ip::tcp::endpoint endpoint) {
+asio::awaitable<probe_result> probe_connection(asio::ip::tcp::endpoint endpoint) {
     const auto executor = co_await asio::this_coro::executor;
     const auto socket = std::make_shared<asio::ip::tcp::socket>(executor);
     asio::steady_timer timer(executor);
     boost::system::error_code error;
-    close_at(timer, socket, connect_limit);
+    close_after(timer, socket, connect_timeout);
     co_await socket->async_connect(endpoint, asio::redirect_error(asio::use_awaitable, error));
     if (error == asio::error::connection_refused || error == asio::error::connection_reset) {
-        co_return connection_fate::refused;
+        co_return probe_result::refused;
     }
     if (error) {
-        co_return connection_fate::no_answer;
+        co_return probe_result::no_answer;
     }
-    close_at(timer, socket, observation_time);
+    close_after(timer, socket, observation_time);
     std::array<char, 1> byte{};
     co_await socket->async_read_some(asio::buffer(byte),
                                      asio::redirect_error(asio::use_awaitable, error));
-    const bool closed_there = error == asio::error::eof || error == asio::error::connection_reset;
-    co_return closed_there ? connection_fate::closed : connection_fate::kept;
+    const bool closed_by_peer = error == asio::error::eof || error == asio::error::connection_reset;
+    co_return closed_by_peer ? probe_result::closed : probe_result::held_open;
 }
 
 /// A process that is ending may accept a connection before it closes its listening socket, and a
 /// process at its limit of connections closes them at once: later ones tell these apart.
-asio::awaitable<process_state> state_of_process(std::string address) {
+asio::awaitable<process_state> probe_process(std::string address) {
     const auto endpoint = to_endpoint(address);
     if (!endpoint) {
         co_return process_state::unknown;
     }
-    connection_fate fate = co_await try_to_connect(*endpoint);
-    for (int i = 1; i < most_connections && fate == connection_fate::closed; ++i) {
-        asio::steady_timer pause(co_await asio::this_coro::executor, pause_between);
+    probe_result result = co_await probe_connection(*endpoint);
+    for (int i = 1; i < max_attempts && result == probe_result::closed; ++i) {
+        asio::steady_timer pause(co_await asio::this_coro::executor, retry_delay);
         co_await pause.async_wait(asio::use_awaitable);
-        fate = co_await try_to_connect(*endpoint);
+        result = co_await probe_connection(*endpoint);
     }
-    if (fate == connection_fate::refused) {
+    if (result == probe_result::refused) {
         co_return process_state::ended;
     }
-    co_return fate == connection_fate::no_answer ? process_state::unknown : process_state::running;
+    co_return result == probe_result::no_answer ? process_state::unknown : process_state::running;
 }
 
 } // namespace
@@ -100,11 +100,11 @@
         co_return other->state;
     }
     const auto own = std::make_shared<pending_check>(co_await asio::this_coro::executor);
-    own->done.expires_after(longest_check);
+    own->done.expires_after(max_check_duration);
     checks_[id] = own;
-    own->state = co_await state_of_process(std::move(address));
+    own->state = co_await probe_process(std::move(address));
     own->complete = true;
-    own->valid_until = monotonic_now() + validity;
+    own->valid_until = monotonic_now() + result_lifetime;
     ended_servers_ += own->state == process_state::ended ? 1 : 0;
     own->done.cancel();
     co_return own->state;
--- a/bamboostream/src/Core/digest.cpp
+++ b/bamboostream/src/Core/digest.cpp
@@ -32,7 +32,7 @@
     return out;
 }
 
-bool has_uuid_shape(std::string_view text) {
+bool is_uuid_v7(std::string_view text) {
     if (text.size() != uuid_length) {
         return false;
     }
@@ -133,7 +133,7 @@
 }
 
 std::int64_t uuid_v7_time(std::string_view text) {
-    if (!has_uuid_shape(text)) {
+    if (!is_uuid_v7(text)) {
         return -1;
     }
     std::string digits(text.substr(0, 8));
--- a/bamboostream/src/Core/event_log.cpp
+++ b/bamboostream/src/Core/event_log.cpp
@@ -13,15 +13,15 @@
 
 namespace {
 /// A pipe that is ready to be written takes this much at once without blocking (PIPE_BUF).
-constexpr std::size_t most_line_bytes = 4'096;
+constexpr std::size_t max_line_bytes = 4'096;
 /// A detail is cut to this, so that its line stays whole and readable for programs.
-constexpr std::size_t most_detail_bytes = 3'000;
+constexpr std::size_t max_detail_bytes = 3'000;
 
 /// What all threads of a program share for writing lines.
 struct log_output {
     std::mutex mutex;
     log_rate_limiter limiter;
-    log_line_buffer waiting;
+    log_line_buffer pending_lines;
 };
 
 log_output& output() {
@@ -29,51 +29,51 @@
     return shared;
 }
 
-bool reader_has_room() {
+bool stdout_writable() {
     pollfd out{STDOUT_FILENO, POLLOUT, 0};
     return poll(&out, 1, 0) == 1 && (out.revents & POLLOUT) != 0;
 }
 
 /// Writes each line with one call, so that lines of several threads don't mix, and only while that
 /// doesn't block: a reader of the log that stands still would stop the process otherwise.
-void write_while_room(log_line_buffer& waiting) {
-    while (const std::string* line = waiting.front()) {
-        if (!reader_has_room() || write(STDOUT_FILENO, line->data(), line->size()) < 0) {
+void write_pending_lines(log_line_buffer& pending_lines) {
+    while (const std::string* line = pending_lines.front()) {
+        if (!stdout_writable() || write(STDOUT_FILENO, line->data(), line->size()) < 0) {
             return;
         }
-        waiting.pop();
+        pending_lines.pop();
     }
 }
 
 std::atomic<log_format> current_format{log_format::text};
-std::atomic<event_level> lowest_level{event_level::info};
+std::atomic<event_level> current_min_level{event_level::info};
 } // namespace
 
-void configure_log(log_format format, event_level lowest) {
+void configure_log(log_format format, event_level min_level) {
     current_format = format;
-    lowest_level = lowest;
+    current_min_level = min_level;
 }
 
 std::uint64_t dropped_log_lines() {
     const std::lock_guard lock(output().mutex);
-    return output().waiting.dropped();
+    return output().pending_lines.dropped();
 }
 
 void flush_log() {
     const std::lock_guard lock(output().mutex);
-    write_while_room(output().waiting);
+    write_pending_lines(output().pending_lines);
 }
 
 namespace internal {
 
 bool log_enabled(event_level level) {
-    return level >= lowest_level.load();
+    return level >= current_min_level.load();
 }
 
 namespace {
 
 std::string format_line(const event_kind& kind, std::string_view detail) {
-    detail = detail.substr(0, most_detail_bytes);
+    detail = detail.substr(0, max_detail_bytes);
     if (current_format.load() == log_format::text) {
         return fmt::format("{} {} {} {} {}\n", wall_now(), kind.number, to_string(kind.level),
                            kind.name, detail);
@@ -96,10 +96,11 @@
     if (!permit.write) {
         return;
     }
-    write_while_room(out.waiting);
-    if (out.waiting.front() == nullptr) {
-        if (const std::uint64_t lost = out.waiting.take_dropped(); lost > 0) {
-            out.waiting.add(format_line(events::log_lines_lost, fmt::format("lines={}", lost)));
+    write_pending_lines(out.pending_lines);
+    if (out.pending_lines.front() == nullptr) {
+        if (const std::uint64_t lost = out.pending_lines.take_dropped(); lost > 0) {
+            out.pending_lines.add(
+                format_line(events::log_lines_lost, fmt::format("lines={}", lost)));
         }
     }
     std::string line = permit.suppressed_lines == 0
@@ -107,10 +108,10 @@
                            : format_line(kind, fmt::format("{} left_out_before={}", detail,
                                                            permit.suppressed_lines));
     // Escapes make a line of control characters longer than a pipe takes at once.
-    if (line.size() <= most_line_bytes) {
-        out.waiting.add(std::move(line));
+    if (line.size() <= max_line_bytes) {
+        out.pending_lines.add(std::move(line));
     }
-    write_while_room(out.waiting);
+    write_pending_lines(out.pending_lines);
 }
 
 } // namespace internal
--- a/bamboostream/src/Core/event_log.h
+++ b/bamboostream/src/Core/event_log.h
@@ -13,7 +13,7 @@
 enum class log_format : std::uint8_t { text, json };
 
 /// Sets the format and the lowest level written. Called once at the start of a program.
-void configure_log(log_format format, event_level lowest);
+void configure_log(log_format format, event_level min_level);
 
 /// Lines that were dropped because nobody read standard output.
 std::uint64_t dropped_log_lines();
--- a/bamboostream/src/Core/identities.h
+++ b/bamboostream/src/Core/identities.h
@@ -15,33 +15,33 @@
 /// workspace name is wanted does not compile.
 ///
 /// Example: `workspace_id w{"acme"}; w.text()`.
-template <class Tag> class identity {
+template <class Tag> class typed_id {
 public:
-    identity() = default;
-    explicit identity(std::string text) : text_(std::move(text)) {}
-    explicit identity(std::string_view text) : text_(text) {}
-    explicit identity(const char* text) : text_(text) {}
+    typed_id() = default;
+    explicit typed_id(std::string text) : text_(std::move(text)) {}
+    explicit typed_id(std::string_view text) : text_(text) {}
+    explicit typed_id(const char* text) : text_(text) {}
 
     const std::string& text() const { return text_; }
     bool empty() const { return text_.empty(); }
-    auto operator<=>(const identity&) const = default;
+    auto operator<=>(const typed_id&) const = default;
 
 private:
     std::string text_;
 };
 
 /// A customer that shares the engines.
-using workspace_id = identity<struct workspace_tag>;
+using workspace_id = typed_id<struct workspace_tag>;
 /// A group of backend servers that run the same model.
-using pool_id = identity<struct pool_tag>;
+using pool_id = typed_id<struct pool_tag>;
 /// An engine or a plain service replica, named by its address "ip:port".
-using backend_id = identity<struct backend_tag>;
+using backend_id = typed_id<struct backend_tag>;
 /// A zone whose machines tend to fail together.
-using failure_domain_id = identity<struct failure_domain_tag>;
+using failure_domain_id = typed_id<struct failure_domain_tag>;
 /// One run of a model for one request; unique over all time.
-using generation_id = identity<struct generation_tag>;
+using generation_id = typed_id<struct generation_tag>;
 /// A plain service that the system routes to.
-using service_id = identity<struct service_tag>;
+using service_id = typed_id<struct service_tag>;
 
 /// One life of one instance: a restart at the same address has a later start stamp.
 struct instance_id {
@@ -58,8 +58,8 @@
 
 } // namespace bamboostream
 
-template <class Tag> struct std::hash<bamboostream::identity<Tag>> {
-    std::size_t operator()(const bamboostream::identity<Tag>& id) const noexcept {
+template <class Tag> struct std::hash<bamboostream::typed_id<Tag>> {
+    std::size_t operator()(const bamboostream::typed_id<Tag>& id) const noexcept {
         return std::hash<std::string>{}(id.text());
     }
 };
--- a/bamboostream/src/Core/log_limit.cpp
+++ b/bamboostream/src/Core/log_limit.cpp
@@ -9,24 +9,25 @@
 
 /// Lines a second of one kind. An instance passes on some 30 requests a second at the size designed
 /// for (33,000 a second over 1,100 instances); this is several times that.
-constexpr double lines_a_second = 200.0;
+constexpr double lines_per_second = 200.0;
 /// Lines at once: all backend servers that become known at a start are told.
-constexpr double most_at_once = 2'000.0;
+constexpr double burst_lines = 2'000.0;
 
 } // namespace
 
 log_permit log_rate_limiter::try_acquire(int event_number, time_point now) {
-    const auto [found, is_new] = kinds_.try_emplace(event_number, allowance{most_at_once, now, 0});
-    allowance& kind = found->second;
-    const double since_s = to_milliseconds(now - kind.at) / 1000.0;
-    kind.lines = std::min(most_at_once, kind.lines + since_s * lines_a_second);
-    kind.at = now;
-    if (kind.lines < 1.0) {
-        ++kind.suppressed_lines;
+    const auto [found, is_new] =
+        buckets_.try_emplace(event_number, token_bucket{burst_lines, now, 0});
+    token_bucket& bucket = found->second;
+    const double elapsed_s = to_milliseconds(now - bucket.updated) / 1000.0;
+    bucket.tokens = std::min(burst_lines, bucket.tokens + elapsed_s * lines_per_second);
+    bucket.updated = now;
+    if (bucket.tokens < 1.0) {
+        ++bucket.suppressed_lines;
         return {};
     }
-    kind.lines -= 1.0;
-    return {true, std::exchange(kind.suppressed_lines, 0)};
+    bucket.tokens -= 1.0;
+    return {true, std::exchange(bucket.suppressed_lines, 0)};
 }
 
 void log_line_buffer::add(std::string line) {
@@ -44,7 +45,7 @@
 }
 
 std::uint64_t log_line_buffer::take_dropped() {
-    return dropped_ - std::exchange(said_, dropped_);
+    return dropped_ - std::exchange(reported_drops_, dropped_);
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Core/log_limit.h
+++ b/bamboostream/src/Core/log_limit.h
@@ -25,12 +25,12 @@
     log_permit try_acquire(int event_number, time_point now);
 
 private:
-    struct allowance {
-        double lines = 0.0;
-        time_point at;
+    struct token_bucket {
+        double tokens = 0.0;
+        time_point updated;
         std::uint64_t suppressed_lines = 0;
     };
-    std::unordered_map<int, allowance> kinds_;
+    std::unordered_map<int, token_bucket> buckets_;
 };
 
 /// Lines that wait until standard output takes them. A reader of the log that stands still must not
@@ -54,7 +54,7 @@
     std::deque<std::string> lines_;
     std::size_t bytes_ = 0;
     std::uint64_t dropped_ = 0;
-    std::uint64_t said_ = 0;
+    std::uint64_t reported_drops_ = 0;
 };
 
 } // namespace bamboostream
--- a/bamboostream/src/Core/rendezvous.h
+++ b/bamboostream/src/Core/rendezvous.h
@@ -24,16 +24,16 @@
 /// the keys it owned.
 inline std::vector<std::string>
 rendezvous_owners(std::string_view key, std::span<const rendezvous_node> nodes, std::size_t count) {
-    struct ranked {
+    struct weighted_node {
         std::uint64_t weight;
         const rendezvous_node* node;
     };
-    std::vector<ranked> order;
+    std::vector<weighted_node> order;
     order.reserve(nodes.size());
     for (const rendezvous_node& node : nodes) {
         order.push_back({stable_hash({key, node.name}), &node});
     }
-    std::sort(order.begin(), order.end(), [](const ranked& a, const ranked& b) {
+    std::sort(order.begin(), order.end(), [](const weighted_node& a, const weighted_node& b) {
         if (a.node->preferred != b.node->preferred) {
             return a.node->preferred;
         }
@@ -41,21 +41,21 @@
     });
     std::vector<std::string> owners;
     std::vector<std::string_view> used_domains;
-    const auto take = [&](bool new_domain_only) {
-        for (const ranked& r : order) {
-            const bool known_domain = std::find(used_domains.begin(), used_domains.end(),
-                                                r.node->failure_domain) != used_domains.end();
-            const bool taken =
+    const auto add_owners = [&](bool new_domain_only) {
+        for (const weighted_node& r : order) {
+            const bool domain_used = std::find(used_domains.begin(), used_domains.end(),
+                                               r.node->failure_domain) != used_domains.end();
+            const bool already_owner =
                 std::find(owners.begin(), owners.end(), r.node->name) != owners.end();
-            if (owners.size() == count || taken || (new_domain_only && known_domain)) {
+            if (owners.size() == count || already_owner || (new_domain_only && domain_used)) {
                 continue;
             }
             owners.push_back(r.node->name);
             used_domains.push_back(r.node->failure_domain);
         }
     };
-    take(true);
-    take(false);
+    add_owners(true);
+    add_owners(false);
     return owners;
 }
 
--- a/bamboostream/src/Core/request_digest.cpp
+++ b/bamboostream/src/Core/request_digest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t half_length = 16;
+constexpr std::size_t digits_per_half = 16;
 
 } // namespace
 
@@ -30,7 +30,7 @@
         bytes += field;
     }
     const std::string digits = sha256_hex(bytes);
-    return *parse(std::string_view(digits).substr(0, 2 * half_length));
+    return *parse(std::string_view(digits).substr(0, 2 * digits_per_half));
 }
 
 std::string request_digest::text() const {
@@ -38,11 +38,11 @@
 }
 
 std::optional<request_digest> request_digest::parse(std::string_view text) {
-    if (text.size() != 2 * half_length) {
+    if (text.size() != 2 * digits_per_half) {
         return std::nullopt;
     }
-    const auto high = parse_hexadecimal(text.substr(0, half_length));
-    const auto low = parse_hexadecimal(text.substr(half_length));
+    const auto high = parse_hexadecimal(text.substr(0, digits_per_half));
+    const auto low = parse_hexadecimal(text.substr(digits_per_half));
     return high && low ? std::optional(request_digest{*high, *low}) : std::nullopt;
 }
 
--- a/bamboostream/src/Core/settings.cpp
+++ b/bamboostream/src/Core/settings.cpp
@@ -14,12 +14,12 @@
 struct settings::entry {
     std::string name;
     std::string help;
-    std::string given;
+    std::string raw_value;
     std::function<std::string(const std::string&)> assign;
     bool is_flag = false;
     bool is_positional = false;
     bool required = false;
-    bool flag_given = false;
+    bool flag_present = false;
 };
 
 namespace {
@@ -39,10 +39,11 @@
 }
 
 template <class Number>
-std::string assign_in_range(const std::string& text, Number least, Number most, Number& value) {
+std::string parse_in_range(const std::string& text, Number min_value, Number max_value,
+                           Number& value) {
     Number parsed{};
-    if (!parse_number(text, parsed) || parsed < least || parsed > most) {
-        return fmt::format("must be a number from {} to {}", least, most);
+    if (!parse_number(text, parsed) || parsed < min_value || parsed > max_value) {
+        return fmt::format("must be a number from {} to {}", min_value, max_value);
     }
     value = parsed;
     return {};
@@ -72,47 +73,52 @@
     auto added = std::make_unique<entry>();
     added->name = std::move(name);
     added->help = std::move(help);
-    added->given = std::move(initial);
+    added->raw_value = std::move(initial);
     added->assign = std::move(assign);
     entries_.push_back(std::move(added));
     return *entries_.back();
 }
 
 void settings::text(std::string name, std::string* value, std::string help, bool required) {
-    auto assign = [value](const std::string& given) {
-        *value = given;
+    auto assign = [value](const std::string& raw_value) {
+        *value = raw_value;
         return std::string{};
     };
     add(std::move(name), std::move(help), *value, assign).required = required;
 }
 
 void settings::address(std::string name, std::string* value, std::string help, bool required) {
-    auto assign = [value](const std::string& given) -> std::string {
-        if (!given.empty() && !is_address(given)) {
+    auto assign = [value](const std::string& raw_value) -> std::string {
+        if (!raw_value.empty() && !is_address(raw_value)) {
             return "must be ip:port with a numeric IP";
         }
-        *value = given;
+        *value = raw_value;
         return {};
     };
     add(std::move(name), std::move(help), *value, assign).required = required;
 }
 
-void settings::number(std::string name, std::int64_t* value, std::string help, std::int64_t least,
-                      std::int64_t most) {
+void settings::number(std::string name, std::int64_t* value, std::string help,
+                      std::int64_t min_value, std::int64_t max_value) {
     add(std::move(name), std::move(help), std::to_string(*value),
-        [=](const std::string& given) { return assign_in_range(given, least, most, *value); });
+        [=](const std::string& raw_value) {
+            return parse_in_range(raw_value, min_value, max_value, *value);
+        });
 }
 
-void settings::real(std::string name, double* value, std::string help, double least, double most) {
+void settings::real(std::string name, double* value, std::string help, double min_value,
+                    double max_value) {
     add(std::move(name), std::move(help), fmt::format("{}", *value),
-        [=](const std::string& given) { return assign_in_range(given, least, most, *value); });
+        [=](const std::string& raw_value) {
+            return parse_in_range(raw_value, min_value, max_value, *value);
+        });
 }
 
 void settings::duration_ms(std::string name, milliseconds* value, std::string help,
-                           std::int64_t least, std::int64_t most) {
-    auto assign = [=](const std::string& given) {
+                           std::int64_t min_value, std::int64_t max_value) {
+    auto assign = [=](const std::string& raw_value) {
         std::int64_t count = value->count();
-        std::string error = assign_in_range(given, least, most, count);
+        std::string error = parse_in_range(raw_value, min_value, max_value, count);
         *value = milliseconds(count);
         return error;
     };
@@ -120,24 +126,24 @@
 }
 
 void settings::choice(std::string name, std::string* value, const std::string& help,
-                      std::vector<std::string> words) {
-    const std::string listed = fmt::format("{}", fmt::join(words, "|"));
-    auto assign = [value, words = std::move(words), listed](const std::string& given) {
-        if (std::find(words.begin(), words.end(), given) == words.end()) {
-            return fmt::format("must be one of {}", listed);
+                      std::vector<std::string> choices) {
+    const std::string choice_list = fmt::format("{}", fmt::join(choices, "|"));
+    auto assign = [value, choices = std::move(choices), choice_list](const std::string& raw_value) {
+        if (std::find(choices.begin(), choices.end(), raw_value) == choices.end()) {
+            return fmt::format("must be one of {}", choice_list);
         }
-        *value = given;
+        *value = raw_value;
         return std::string{};
     };
-    add(std::move(name), help + " (" + listed + ")", *value, assign);
+    add(std::move(name), help + " (" + choice_list + ")", *value, assign);
 }
 
 void settings::flag(std::string name, bool* value, std::string help) {
-    auto assign = [value](const std::string& given) -> std::string {
-        if (given != "0" && given != "1") {
+    auto assign = [value](const std::string& raw_value) -> std::string {
+        if (raw_value != "0" && raw_value != "1") {
             return "must be 0 or 1";
         }
-        *value = given == "1";
+        *value = raw_value == "1";
         return {};
     };
     add(std::move(name), std::move(help), *value ? "1" : "0", assign).is_flag = true;
@@ -155,13 +161,13 @@
 void settings::collect_errors(std::vector<std::string>& errors) const {
     for (const auto& entry : entries_) {
         const std::string label = entry->is_positional ? entry->name : "--" + entry->name;
-        if (entry->required && entry->given.empty()) {
+        if (entry->required && entry->raw_value.empty()) {
             errors.push_back(fmt::format("{}: is required", label));
             continue;
         }
-        const std::string error = entry->assign(entry->given);
+        const std::string error = entry->assign(entry->raw_value);
         if (!error.empty()) {
-            errors.push_back(fmt::format("{}: '{}' {}", label, entry->given, error));
+            errors.push_back(fmt::format("{}: '{}' {}", label, entry->raw_value, error));
         }
     }
     if (!errors.empty()) {
@@ -185,15 +191,15 @@
     app.set_version_flag("--version", program_ + " " + BAMBOOSTREAM_VERSION);
     for (const auto& entry : entries_) {
         if (entry->is_flag) {
-            app.add_flag("--" + entry->name, entry->flag_given,
+            app.add_flag("--" + entry->name, entry->flag_present,
                          entry->help + " [env " + environment_name(entry->name) + "]");
             if (const char* value = std::getenv(environment_name(entry->name).c_str())) {
-                entry->given = value;
+                entry->raw_value = value;
             }
             continue;
         }
         const std::string option = entry->is_positional ? entry->name : "--" + entry->name;
-        app.add_option(option, entry->given, entry->help)
+        app.add_option(option, entry->raw_value, entry->help)
             ->envname(environment_name(entry->name))
             ->capture_default_str();
     }
@@ -207,8 +213,8 @@
         errors.emplace_back(error.what());
     }
     for (const auto& entry : entries_) {
-        if (entry->is_flag && entry->flag_given) {
-            entry->given = "1";
+        if (entry->is_flag && entry->flag_present) {
+            entry->raw_value = "1";
         }
     }
     collect_errors(errors);
--- a/bamboostream/src/Core/settings.h
+++ b/bamboostream/src/Core/settings.h
@@ -41,16 +41,17 @@
     /// An address "ip:port"; port 0 lets the system choose.
     void address(std::string name, std::string* value, std::string help, bool required = false);
     /// A whole number within [least, most].
-    void number(std::string name, std::int64_t* value, std::string help, std::int64_t least,
-                std::int64_t most);
+    void number(std::string name, std::int64_t* value, std::string help, std::int64_t min_value,
+                std::int64_t max_value);
     /// A floating number within [least, most].
-    void real(std::string name, double* value, std::string help, double least, double most);
+    void real(std::string name, double* value, std::string help, double min_value,
+              double max_value);
     /// A duration in milliseconds within [least, most].
-    void duration_ms(std::string name, milliseconds* value, std::string help, std::int64_t least,
-                     std::int64_t most);
+    void duration_ms(std::string name, milliseconds* value, std::string help,
+                     std::int64_t min_value, std::int64_t max_value);
     /// One of several words.
     void choice(std::string name, std::string* value, const std::string& help,
-                std::vector<std::string> words);
+                std::vector<std::string> choices);
     /// A switch without a value (the environment variable takes 0 or 1).
     void flag(std::string name, bool* value, std::string help);
     /// A word without a flag, by position.
--- a/bamboostream/src/Http/http_client.cpp
+++ b/bamboostream/src/Http/http_client.cpp
@@ -79,9 +79,10 @@
     http_request request;
     request.method = method;
     request.target = target;
-    const std::size_t mark = std::min(target.find('?'), target.size());
-    request.path = target.substr(0, mark);
-    request.query = mark < target.size() ? target.substr(mark + 1) : std::string_view{};
+    const std::size_t query_separator = std::min(target.find('?'), target.size());
+    request.path = target.substr(0, query_separator);
+    request.query =
+        query_separator < target.size() ? target.substr(query_separator + 1) : std::string_view{};
     request.body = std::move(body);
     return request;
 }
--- a/bamboostream/src/Http/http_connection.cpp
+++ b/bamboostream/src/Http/http_connection.cpp
@@ -33,7 +33,7 @@
 /// next on that connection waits behind the rest until its time is up. The system takes a megabyte
 /// off a sender's hands unread, so a finished write doesn't tell; up to this size a request fits
 /// into what servers read at once.
-constexpr std::size_t surely_read_bytes = 64 * 1024;
+constexpr std::size_t max_reusable_request_bytes = 64 * 1024;
 
 } // namespace
 
@@ -74,35 +74,36 @@
     head_only_ = head_only;
     ended_by_close_ = false;
     any_sent_ = false;
-    out_ = std::move(bytes);
+    request_bytes_ = std::move(bytes);
     start_parser();
     beast::error_code ec;
-    std::size_t done = socket_.write_some(asio::buffer(out_), ec);
+    std::size_t written = socket_.write_some(asio::buffer(request_bytes_), ec);
     if (ec == asio::error::would_block || ec == asio::error::try_again) {
         ec = {};
-        done = 0;
+        written = 0;
     }
-    any_sent_ = done > 0;
+    any_sent_ = written > 0;
     if (ec) {
         close();
         return;
     }
-    if (done < out_.size()) {
+    if (written < request_bytes_.size()) {
         writing_ = true;
         any_sent_ = true;
         asio::co_spawn(
             socket_.get_executor(),
-            [self = shared_from_this(), done]() -> asio::awaitable<void> {
-                co_await self->write_rest(done);
+            [self = shared_from_this(), written]() -> asio::awaitable<void> {
+                co_await self->write_remaining(written);
             },
             asio::detached);
     }
 }
 
-asio::awaitable<void> http_connection::write_rest(std::size_t done) {
+asio::awaitable<void> http_connection::write_remaining(std::size_t written) {
     beast::error_code ec;
-    co_await asio::async_write(socket_, asio::buffer(out_.data() + done, out_.size() - done),
-                               token(ec));
+    co_await asio::async_write(
+        socket_, asio::buffer(request_bytes_.data() + written, request_bytes_.size() - written),
+        token(ec));
     // After an error the request is not whole: `writing_` stays set, so the connection is unfit.
     writing_ = ec.failed();
 }
@@ -112,8 +113,8 @@
     do {
         if (parser_->is_header_done()) {
             start_parser();
-            if (kept_ > 0) {
-                parse(kept_, ec);
+            if (unparsed_bytes_ > 0) {
+                parse(unparsed_bytes_, ec);
             }
         }
         while (!ec && !parser_->is_header_done()) {
@@ -131,7 +132,8 @@
 
 asio::awaitable<void> http_connection::read_once(beast::error_code& ec) {
     const std::size_t count = co_await socket_.async_read_some(
-        asio::buffer(buffer_->data() + kept_, buffer_->size() - kept_), token(ec));
+        asio::buffer(buffer_->data() + unparsed_bytes_, buffer_->size() - unparsed_bytes_),
+        token(ec));
     if (ec == asio::error::eof && parser_->got_some() && !parser_->is_done()) {
         ec = {};
         parser_->put_eof(ec);
@@ -142,7 +144,7 @@
         co_return;
     }
     if (!ec) {
-        parse(kept_ + count, ec);
+        parse(unparsed_bytes_ + count, ec);
     }
 }
 
@@ -160,10 +162,10 @@
             break;
         }
     }
-    kept_ = available - used;
+    unparsed_bytes_ = available - used;
     std::copy(buffer_->begin() + static_cast<std::ptrdiff_t>(used),
               buffer_->begin() + static_cast<std::ptrdiff_t>(available), buffer_->begin());
-    if (!ec && kept_ == buffer_->size()) {
+    if (!ec && unparsed_bytes_ == buffer_->size()) {
         ec = http::error::header_limit;
     }
 }
@@ -226,17 +228,17 @@
     socket_.close(ec);
 }
 
-bool http_connection::answer_closes() const {
+bool http_connection::response_closes() const {
     return !parser_->get().keep_alive() || ended_by_close_;
 }
 
 bool http_connection::reusable() const {
-    const bool all_read = out_.size() <= surely_read_bytes;
-    return socket_.is_open() && complete() && kept_ == 0 && !writing_ && all_read &&
-           !answer_closes();
+    const bool request_consumed = request_bytes_.size() <= max_reusable_request_bytes;
+    return socket_.is_open() && complete() && unparsed_bytes_ == 0 && !writing_ &&
+           request_consumed && !response_closes();
 }
 
-std::optional<seconds> http_connection::idle_limit() const {
+std::optional<seconds> http_connection::keep_alive_timeout() const {
     constexpr std::string_view name = "timeout=";
     const std::string_view text = field("Keep-Alive");
     const std::size_t at = text.find(name);
--- a/bamboostream/src/Http/http_connection.h
+++ b/bamboostream/src/Http/http_connection.h
@@ -66,25 +66,25 @@
     /// True when another exchange may follow on this connection.
     bool reusable() const;
     /// How long the other side keeps an idle connection, when its answer says so.
-    std::optional<seconds> idle_limit() const;
+    std::optional<seconds> keep_alive_timeout() const;
     /// While idle: closes the connection when the other side closes it or sends anything.
     void watch_idle();
     void stop_watching();
 
 private:
-    boost::asio::awaitable<void> write_rest(std::size_t done);
+    boost::asio::awaitable<void> write_remaining(std::size_t written);
     boost::asio::awaitable<void> read_once(boost::beast::error_code& ec);
     void parse(std::size_t available, boost::beast::error_code& ec);
     void start_parser();
-    bool answer_closes() const;
+    bool response_closes() const;
 
     using parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
     boost::asio::ip::tcp::socket socket_;
     boost::asio::steady_timer watchdog_;
     std::optional<parser> parser_;
     std::unique_ptr<std::array<char, 16 * 1024>> buffer_;
-    std::size_t kept_ = 0;
-    std::string out_;
+    std::size_t unparsed_bytes_ = 0;
+    std::string request_bytes_;
     bool writing_ = false;
     bool any_sent_ = false;
     bool timed_out_ = false;
--- a/bamboostream/src/Http/http_connection_pool.cpp
+++ b/bamboostream/src/Http/http_connection_pool.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Servers that don't say how long they keep an idle connection commonly keep it for 5 s or more.
-constexpr seconds assumed_idle_limit{4};
+constexpr seconds default_keep_alive_timeout{4};
 /// A request that is on its way while the server closes is lost; this covers the way.
 constexpr milliseconds idle_margin{500};
 /// More idle connections to one address than a burst needs are only descriptors.
@@ -16,7 +16,7 @@
 } // namespace
 
 std::shared_ptr<http_connection> http_connection_pool::take(const std::string& address,
-                                                            duration most_idle, time_point now) {
+                                                            duration max_idle, time_point now) {
     const auto found = idle_.find(address);
     if (found == idle_.end()) {
         return nullptr;
@@ -29,7 +29,7 @@
             last.connection->close();
             continue;
         }
-        if (now - last.since >= most_idle) {
+        if (now - last.since >= max_idle) {
             connections.push_back(std::move(last));
             return nullptr;
         }
@@ -46,7 +46,8 @@
         connection->close();
         return;
     }
-    const milliseconds limit = connection->idle_limit().value_or(assumed_idle_limit);
+    const milliseconds limit =
+        connection->keep_alive_timeout().value_or(default_keep_alive_timeout);
     auto& connections = idle_[address];
     if (limit <= idle_margin || connections.size() >= max_idle_connections) {
         connection->close();
@@ -70,11 +71,11 @@
 void http_connection_pool::expire(time_point now) {
     for (auto& [address, connections] : idle_) {
         std::erase_if(connections, [now](idle_connection& entry) {
-            const bool over = now >= entry.until || !entry.connection->is_open();
-            if (over) {
+            const bool expired = now >= entry.until || !entry.connection->is_open();
+            if (expired) {
                 entry.connection->close();
             }
-            return over;
+            return expired;
         });
     }
     std::erase_if(idle_, [](const auto& entry) { return entry.second.empty(); });
--- a/bamboostream/src/Http/http_connection_pool.h
+++ b/bamboostream/src/Http/http_connection_pool.h
@@ -14,8 +14,8 @@
 class http_connection_pool {
 public:
     /// The most recently used idle connection to `address` that has been idle for less than
-    /// `most_idle`; null when there is none.
-    std::shared_ptr<http_connection> take(const std::string& address, duration most_idle,
+    /// `max_idle`; null when there is none.
+    std::shared_ptr<http_connection> take(const std::string& address, duration max_idle,
                                           time_point now);
     /// Keeps a connection for later when it is fit for another exchange, else closes it.
     void give_back(const std::string& address, std::shared_ptr<http_connection> connection,
--- a/bamboostream/src/Http/http_server.cpp
+++ b/bamboostream/src/Http/http_server.cpp
@@ -44,7 +44,7 @@
 
 /// Bytes that may wait in a connection before `write` makes its caller wait.
 constexpr std::size_t write_buffer_limit = 64 * 1024;
-constexpr milliseconds accept_retry_pause{10};
+constexpr milliseconds accept_retry_delay{10};
 /// Holds the longest head and what is read ahead; bodies pass through it.
 constexpr std::size_t read_buffer_bytes = 1024 * 1024 + 64 * 1024;
 /// Bytes of a caller's next requests that are read while the answer to the last is pending; a
@@ -52,7 +52,7 @@
 constexpr std::size_t read_ahead_limit = 64 * 1024;
 constexpr std::size_t read_ahead_step = 4 * 1024;
 /// Cancelling misses a read that has just completed, so it is repeated until the reader ended.
-constexpr milliseconds cancel_check{2};
+constexpr milliseconds cancel_retry_interval{2};
 
 auto token(beast::error_code& ec) {
     return asio::redirect_error(asio::use_awaitable, ec);
@@ -67,9 +67,10 @@
     http_request out;
     out.method = std::string(from.method_string());
     out.target = std::string(from.target());
-    const std::size_t mark = std::min(out.target.find('?'), out.target.size());
-    out.path = out.target.substr(0, mark);
-    out.query = mark < out.target.size() ? out.target.substr(mark + 1) : std::string{};
+    const std::size_t query_separator = std::min(out.target.find('?'), out.target.size());
+    out.path = out.target.substr(0, query_separator);
+    out.query = query_separator < out.target.size() ? out.target.substr(query_separator + 1)
+                                                    : std::string{};
     for (const auto& field : from) {
         out.fields.push_back({std::string(field.name_string()), std::string(field.value())});
     }
@@ -87,7 +88,7 @@
     connection_exchange(beast::tcp_stream& stream, beast::flat_buffer& read_ahead,
                         http_request request, bool keep_alive, const http_limits& limits)
         : stream_(stream), read_ahead_(read_ahead), request_(std::move(request)),
-          keep_alive_(keep_alive), limits_(limits), drained_(stream.get_executor()),
+          keep_alive_(keep_alive), limits_(limits), write_drained_(stream.get_executor()),
           watch_ended_(stream.get_executor()) {}
 
     const http_request& request() const override { return request_; }
@@ -102,19 +103,19 @@
         stream_.socket().close(ec);
     }
 
-    void watch_caller(std::function<void()> left) override {
-        left_ = std::move(left);
+    void watch_caller(std::function<void()> on_disconnect) override {
+        on_disconnect_ = std::move(on_disconnect);
         watching_ = true;
         asio::co_spawn(stream_.get_executor(), read_ahead(), asio::detached);
     }
 
     /// Ends the reading ahead, so that the next request is read by the connection again.
     asio::awaitable<void> stop_watching() {
-        left_ = nullptr;
+        on_disconnect_ = nullptr;
         beast::error_code ec;
         while (watching_) {
             stream_.socket().cancel(ec);
-            watch_ended_.expires_after(cancel_check);
+            watch_ended_.expires_after(cancel_retry_interval);
             co_await watch_ended_.async_wait(token(ec));
         }
     }
@@ -157,7 +158,7 @@
     /// What arrives meanwhile is the caller's next request; it stays in the connection's buffer.
     asio::awaitable<void> read_ahead() {
         beast::error_code ec;
-        while (left_ && read_ahead_.size() < read_ahead_limit) {
+        while (on_disconnect_ && read_ahead_.size() < read_ahead_limit) {
             const auto space = read_ahead_.prepare(read_ahead_step);
             const std::size_t count = co_await stream_.socket().async_read_some(space, token(ec));
             read_ahead_.commit(count);
@@ -167,10 +168,10 @@
         }
         watching_ = false;
         watch_ended_.cancel();
-        if (ec && ec != asio::error::operation_aborted && left_) {
+        if (ec && ec != asio::error::operation_aborted && on_disconnect_) {
             gone_ = true;
-            const auto left = std::exchange(left_, nullptr);
-            left();
+            const auto on_disconnect = std::exchange(on_disconnect_, nullptr);
+            on_disconnect();
         }
     }
 
@@ -192,8 +193,8 @@
     asio::awaitable<bool> flush() {
         while (flushing_ && out_.size() > write_buffer_limit && !gone_) {
             beast::error_code ec;
-            drained_.expires_after(limits_.write_timeout);
-            co_await drained_.async_wait(token(ec));
+            write_drained_.expires_after(limits_.write_timeout);
+            co_await write_drained_.async_wait(token(ec));
         }
         if (flushing_ || gone_) {
             co_return !gone_;
@@ -204,7 +205,7 @@
             out_.clear();
             co_await write_all();
             writing_.clear();
-            drained_.cancel();
+            write_drained_.cancel();
         }
         flushing_ = false;
         co_return !gone_;
@@ -232,9 +233,9 @@
     http_request request_;
     bool keep_alive_;
     const http_limits& limits_;
-    asio::steady_timer drained_;
+    asio::steady_timer write_drained_;
     asio::steady_timer watch_ended_;
-    std::function<void()> left_;
+    std::function<void()> on_disconnect_;
     bool watching_ = false;
     std::string out_;
     std::string writing_;
@@ -243,13 +244,13 @@
     bool complete_ = false;
 };
 
-struct parse_problem {
+struct request_error {
     int status = 0;
     std::string_view code;
     std::string_view message;
 };
 
-parse_problem describe(beast::error_code ec) {
+request_error to_request_error(beast::error_code ec) {
     if (ec == http::error::body_limit) {
         return {413, "body_too_large", "the request body is over the limit"};
     }
@@ -262,7 +263,7 @@
     return {400, "malformed_request", "the request is not valid HTTP/1.1"};
 }
 
-bool ended_quietly(beast::error_code ec) {
+bool is_normal_close(beast::error_code ec) {
     return ec == http::error::end_of_stream || ec == asio::error::eof ||
            ec == asio::error::connection_reset || ec == asio::error::operation_aborted;
 }
@@ -301,13 +302,13 @@
             stream_.expires_after(limits.head_timeout);
             co_await http::async_read(stream_, buffer_, parser, token(ec));
         }
-        const bool nothing_came = buffer_.size() == 0 && !parser.got_some();
+        const bool no_bytes_received = buffer_.size() == 0 && !parser.got_some();
         stream_.expires_never();
-        if (ec && (ended_quietly(ec) || (ec == beast::error::timeout && nothing_came))) {
+        if (ec && (is_normal_close(ec) || (ec == beast::error::timeout && no_bytes_received))) {
             co_return false;
         }
         if (ec) {
-            co_await refuse(describe(ec));
+            co_await respond_error(to_request_error(ec));
             co_return false;
         }
         const bool keep_alive = parser.get().keep_alive();
@@ -320,10 +321,10 @@
         co_return exchange.keep_alive();
     }
 
-    asio::awaitable<void> refuse(parse_problem problem) {
+    asio::awaitable<void> respond_error(request_error failure) {
         connection_exchange exchange(stream_, buffer_, {}, false, server_->limits);
-        co_await exchange.respond(problem.status, "application/json",
-                                  error_body(problem.code, problem.message), {});
+        co_await exchange.respond(failure.status, "application/json",
+                                  error_body(failure.code, failure.message), {});
     }
 
     std::shared_ptr<internal::http_server_state> server_;
@@ -333,8 +334,8 @@
 
 asio::awaitable<void> run_connection(std::shared_ptr<internal::http_server_state> server,
                                      tcp::socket socket) {
-    connection serving(std::move(server), std::move(socket));
-    co_await serving.run();
+    connection served(std::move(server), std::move(socket));
+    co_await served.run();
 }
 
 asio::awaitable<void> accept_loop(std::shared_ptr<internal::http_server_state> server) {
@@ -348,7 +349,7 @@
             co_return;
         }
         if (ec || server->connections >= server->limits.connections) {
-            asio::steady_timer pause(co_await asio::this_coro::executor, accept_retry_pause);
+            asio::steady_timer pause(co_await asio::this_coro::executor, accept_retry_delay);
             co_await pause.async_wait(token(ec));
             continue;
         }
--- a/bamboostream/src/Http/http_server.h
+++ b/bamboostream/src/Http/http_server.h
@@ -40,10 +40,11 @@
     virtual boost::asio::awaitable<bool> end_stream() = 0;
     /// True once a write has failed, the connection was reset, or a watched caller has closed.
     virtual bool caller_gone() const = 0;
-    /// Reads ahead on the caller's connection until the answer is complete, and calls `left` once
-    /// when the caller closes. Without it a caller that gives up while a backend server is at work
-    /// is noticed only by the next write, and the work goes on for nobody. Call it at most once.
-    virtual void watch_caller(std::function<void()> left) = 0;
+    /// Reads ahead on the caller's connection until the answer is complete, and calls
+    /// `on_disconnect` once when the caller closes. Without it a caller that gives up while a
+    /// backend server is at work is noticed only by the next write, and the work goes on for
+    /// nobody. Call it at most once.
+    virtual void watch_caller(std::function<void()> on_disconnect) = 0;
     /// Breaks the connection off, so that an answer that has begun doesn't look complete.
     virtual void abort() = 0;
     /// Says in the head of the answer that the connection closes after it.
--- a/bamboostream/src/Http/message.cpp
+++ b/bamboostream/src/Http/message.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool equal_without_case(std::string_view a, std::string_view b) {
+bool equals_ignore_case(std::string_view a, std::string_view b) {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) {
         return std::tolower(static_cast<unsigned char>(x)) ==
                std::tolower(static_cast<unsigned char>(y));
@@ -17,7 +17,7 @@
 
 std::string_view find_field(const std::vector<http_field>& fields, std::string_view name) {
     for (const http_field& field : fields) {
-        if (equal_without_case(field.name, name)) {
+        if (equals_ignore_case(field.name, name)) {
             return field.value;
         }
     }
@@ -62,15 +62,16 @@
     return std::nullopt;
 }
 
-std::int64_t http_request::number_parameter(std::string_view name, std::int64_t otherwise) const {
+std::int64_t http_request::number_parameter(std::string_view name,
+                                            std::int64_t default_value) const {
     const std::optional<std::string> text = parameter(name);
     std::int64_t value = 0;
     if (!text) {
-        return otherwise;
+        return default_value;
     }
     const char* end = text->data() + text->size();
     const auto result = std::from_chars(text->data(), end, value);
-    return result.ec == std::errc{} && result.ptr == end ? value : otherwise;
+    return result.ec == std::errc{} && result.ptr == end ? value : default_value;
 }
 
 std::vector<std::string> split_path(std::string_view path) {
--- a/bamboostream/src/Http/message.h
+++ b/bamboostream/src/Http/message.h
@@ -28,8 +28,8 @@
     std::string_view field(std::string_view name) const;
     /// The value of a query parameter, percent-decoded; nothing when absent.
     std::optional<std::string> parameter(std::string_view name) const;
-    /// A query parameter as a whole number, or `otherwise` when absent or not a number.
-    std::int64_t number_parameter(std::string_view name, std::int64_t otherwise) const;
+    /// A query parameter as a whole number, or `default_value` when absent or not a number.
+    std::int64_t number_parameter(std::string_view name, std::int64_t default_value) const;
 };
 
 /// A whole response.
--- a/bamboostream/src/Http/server_sent_events.cpp
+++ b/bamboostream/src/Http/server_sent_events.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// The part after "name:" and one optional space, or nothing when the line has another name.
-bool take_field(std::string_view line, std::string_view name, std::string_view& value) {
+bool parse_field(std::string_view line, std::string_view name, std::string_view& value) {
     if (line.substr(0, name.size()) != name || line.size() <= name.size() ||
         line[name.size()] != ':') {
         return false;
@@ -45,8 +45,8 @@
         if (!line.empty() && line.back() == '\r') {
             line.remove_suffix(1);
         }
-        const bool known = take_field(line, "data", out.data) ||
-                           take_field(line, "event", out.type) || take_field(line, "id", out.id);
+        const bool known = parse_field(line, "data", out.data) ||
+                           parse_field(line, "event", out.type) || parse_field(line, "id", out.id);
         out.comment_only = out.comment_only && !known;
         block = block.substr(std::min(line_end + 1, block.size()));
     }
--- a/bamboostream/src/Links/peer_links.cpp
+++ b/bamboostream/src/Links/peer_links.cpp
@@ -26,7 +26,7 @@
 namespace {
 
 constexpr milliseconds connect_timeout{400};
-constexpr milliseconds redial_pause{100};
+constexpr milliseconds reconnect_delay{100};
 
 auto token(error_code& ec) {
     return asio::redirect_error(asio::use_awaitable, ec);
@@ -39,36 +39,36 @@
 /// A call that waits for its reply.
 struct pending_call {
     pending_call(asio::io_context& context, std::string to)
-        : arrived(context), peer(std::move(to)) {}
-    asio::steady_timer arrived;
+        : completion(context), peer(std::move(to)) {}
+    asio::steady_timer completion;
     std::string peer;
     std::unique_ptr<wire::FrameT> reply;
-    bool refused = false;
+    bool connect_failed = false;
 };
 
 /// One TCP connection to or from a peer.
-struct link_connection {
-    link_connection(tcp::socket s) : socket(std::move(s)), wake(socket.get_executor()) {}
+struct peer_connection {
+    peer_connection(tcp::socket s) : socket(std::move(s)), wake(socket.get_executor()) {}
     tcp::socket socket;
     asio::steady_timer wake;
     std::deque<std::string> queue;
     bool open = true;
 
-    void shut() {
+    void close_socket() {
         error_code ec;
         open = false;
         socket.close(ec);
         wake.cancel();
     }
 };
-using connection_ptr = std::shared_ptr<link_connection>;
+using connection_ptr = std::shared_ptr<peer_connection>;
 
 /// The dialled side of one peer; survives reconnects.
-struct link_peer {
+struct outbound_peer {
     std::string address;
     connection_ptr connection;
-    std::deque<std::string> waiting;
-    bool dialling = false;
+    std::deque<std::string> unsent_frames;
+    bool connecting = false;
     time_point last_failure{};
 };
 
@@ -79,14 +79,14 @@
     frame_handler handler;
     instance_id self;
     std::optional<tcp::acceptor> acceptor;
-    std::unordered_map<std::string, std::shared_ptr<link_peer>> peers;
-    std::vector<std::weak_ptr<link_connection>> accepted;
+    std::unordered_map<std::string, std::shared_ptr<outbound_peer>> peers;
+    std::vector<std::weak_ptr<peer_connection>> accepted;
     std::unordered_map<std::uint64_t, std::shared_ptr<pending_call>> calls;
     std::uint64_t next_correlation = 1;
     link_traffic traffic;
     bool closed = false;
 
-    void enqueue(link_connection& connection, std::string bytes) {
+    void enqueue(peer_connection& connection, std::string bytes) {
         if (connection.queue.size() >= max_queued_frames) {
             ++traffic.dropped_frames;
             return;
@@ -99,36 +99,36 @@
     void send_to(const std::string& address, std::string bytes) {
         auto& peer = peers[address];
         if (!peer) {
-            peer = std::make_shared<link_peer>();
+            peer = std::make_shared<outbound_peer>();
             peer->address = address;
         }
         if (peer->connection && peer->connection->open) {
             enqueue(*peer->connection, std::move(bytes));
             return;
         }
-        if (peer->waiting.size() >= max_queued_frames) {
+        if (peer->unsent_frames.size() >= max_queued_frames) {
             ++traffic.dropped_frames;
-            peer->waiting.pop_front();
+            peer->unsent_frames.pop_front();
         }
-        peer->waiting.push_back(std::move(bytes));
-        if (!peer->dialling && !closed) {
-            peer->dialling = true;
-            asio::co_spawn(context, dial(shared_from_this(), peer), asio::detached);
+        peer->unsent_frames.push_back(std::move(bytes));
+        if (!peer->connecting && !closed) {
+            peer->connecting = true;
+            asio::co_spawn(context, connect(shared_from_this(), peer), asio::detached);
         }
     }
 
     /// Dials once. What waited is dropped when the peer can't be reached: every sender here either
     /// repeats its message or has a timeout of its own.
-    static asio::awaitable<void> dial(std::shared_ptr<peer_links_state> hub,
-                                      std::shared_ptr<link_peer> peer) {
+    static asio::awaitable<void> connect(std::shared_ptr<peer_links_state> links,
+                                         std::shared_ptr<outbound_peer> peer) {
         error_code ec;
         const time_point now = monotonic_now();
-        if (now - peer->last_failure < redial_pause) {
-            asio::steady_timer pause(hub->context, redial_pause);
+        if (now - peer->last_failure < reconnect_delay) {
+            asio::steady_timer pause(links->context, reconnect_delay);
             co_await pause.async_wait(token(ec));
         }
-        auto socket = std::make_shared<tcp::socket>(hub->context);
-        asio::steady_timer limit(hub->context, connect_timeout);
+        auto socket = std::make_shared<tcp::socket>(links->context);
+        asio::steady_timer limit(links->context, connect_timeout);
         limit.async_wait([socket](error_code expired) {
             if (!expired) {
                 error_code ignored;
@@ -141,29 +141,29 @@
             co_await socket->async_connect(*endpoint, token(ec));
         }
         limit.cancel();
-        peer->dialling = false;
-        if (ec || hub->closed || !socket->is_open()) {
+        peer->connecting = false;
+        if (ec || links->closed || !socket->is_open()) {
             peer->last_failure = monotonic_now();
-            hub->traffic.dropped_frames += peer->waiting.size();
-            peer->waiting.clear();
-            hub->fail_calls_to(peer->address);
+            links->traffic.dropped_frames += peer->unsent_frames.size();
+            peer->unsent_frames.clear();
+            links->fail_pending_calls(peer->address);
             co_return;
         }
-        peer->connection = std::make_shared<link_connection>(std::move(*socket));
-        for (std::string& bytes : peer->waiting) {
-            hub->enqueue(*peer->connection, std::move(bytes));
+        peer->connection = std::make_shared<peer_connection>(std::move(*socket));
+        for (std::string& bytes : peer->unsent_frames) {
+            links->enqueue(*peer->connection, std::move(bytes));
         }
-        peer->waiting.clear();
-        hub->start(peer->connection);
+        peer->unsent_frames.clear();
+        links->start(peer->connection);
     }
 
     /// Whoever waits for an answer of a peer that can't be reached is told at once, so that a
     /// dead instance is noticed without waiting for a timeout.
-    void fail_calls_to(const std::string& address) {
+    void fail_pending_calls(const std::string& address) {
         for (const auto& [correlation, call] : calls) {
             if (call->peer == address) {
-                call->refused = true;
-                call->arrived.cancel();
+                call->connect_failed = true;
+                call->completion.cancel();
             }
         }
     }
@@ -175,7 +175,7 @@
         asio::co_spawn(context, read_loop(shared_from_this(), connection), asio::detached);
     }
 
-    static asio::awaitable<void> write_loop(std::shared_ptr<peer_links_state> hub,
+    static asio::awaitable<void> write_loop(std::shared_ptr<peer_links_state> links,
                                             connection_ptr connection) {
         error_code ec;
         std::string batch;
@@ -189,21 +189,21 @@
             for (const std::string& frame : connection->queue) {
                 batch += frame;
             }
-            hub->traffic.frames_sent += connection->queue.size();
-            hub->traffic.bytes_sent += batch.size();
+            links->traffic.frames_sent += connection->queue.size();
+            links->traffic.bytes_sent += batch.size();
             connection->queue.clear();
             co_await asio::async_write(connection->socket, asio::buffer(batch), token(ec));
-            hub->traffic.queued_bytes -= batch.size();
+            links->traffic.queued_bytes -= batch.size();
             if (ec) {
-                connection->shut();
+                connection->close_socket();
             }
         }
         for (const std::string& frame : connection->queue) {
-            hub->traffic.queued_bytes -= frame.size();
+            links->traffic.queued_bytes -= frame.size();
         }
     }
 
-    static asio::awaitable<void> read_loop(std::shared_ptr<peer_links_state> hub,
+    static asio::awaitable<void> read_loop(std::shared_ptr<peer_links_state> links,
                                            connection_ptr connection) {
         error_code ec;
         std::array<unsigned char, 4> head{};
@@ -215,7 +215,7 @@
             }
             const std::uint32_t length = decode_length(head);
             if (length == 0 || length > max_frame_bytes) {
-                hub->report_bad_frame(*connection, "length");
+                links->report_bad_frame(*connection, "length");
                 break;
             }
             body.resize(length);
@@ -223,26 +223,26 @@
             if (ec) {
                 break;
             }
-            hub->traffic.bytes_received += head.size() + length;
-            ++hub->traffic.frames_received;
+            links->traffic.bytes_received += head.size() + length;
+            ++links->traffic.frames_received;
             auto frame = decode_frame(body);
             if (!frame) {
-                hub->report_bad_frame(*connection, "content");
+                links->report_bad_frame(*connection, "content");
                 break;
             }
-            hub->dispatch(connection, std::move(frame), length);
+            links->dispatch(connection, std::move(frame), length);
         }
-        connection->shut();
+        connection->close_socket();
     }
 
-    void report_bad_frame(link_connection& connection, std::string_view part) {
+    void report_bad_frame(peer_connection& connection, std::string_view part) {
         ++traffic.bad_frames;
         error_code ec;
         const auto remote = connection.socket.remote_endpoint(ec);
         log_event(events::peer_frame_bad, "peer={} part={}", ec ? "?" : to_text(remote), part);
     }
 
-    void take_reply(std::unique_ptr<wire::FrameT> frame, std::uint32_t length) {
+    void deliver_reply(std::unique_ptr<wire::FrameT> frame, std::uint32_t length) {
         const auto found = calls.find(frame->correlation);
         if (found == calls.end()) {
             ++traffic.late_replies;
@@ -250,55 +250,55 @@
             return;
         }
         found->second->reply = std::move(frame);
-        found->second->arrived.cancel();
+        found->second->completion.cancel();
     }
 
     void dispatch(const connection_ptr& connection, std::unique_ptr<wire::FrameT> frame,
                   std::uint32_t length) {
         if (frame->reply) {
-            take_reply(std::move(frame), length);
+            deliver_reply(std::move(frame), length);
             return;
         }
-        asio::co_spawn(context, answer(shared_from_this(), connection, std::move(frame)),
+        asio::co_spawn(context, handle_request(shared_from_this(), connection, std::move(frame)),
                        asio::detached);
     }
 
-    static asio::awaitable<void> answer(std::shared_ptr<peer_links_state> hub,
-                                        connection_ptr connection,
-                                        std::unique_ptr<wire::FrameT> frame) {
+    static asio::awaitable<void> handle_request(std::shared_ptr<peer_links_state> links,
+                                                connection_ptr connection,
+                                                std::unique_ptr<wire::FrameT> frame) {
         const std::uint64_t correlation = frame->correlation;
-        auto reply = co_await hub->handler(std::move(frame));
+        auto reply = co_await links->handler(std::move(frame));
         if (!reply || correlation == 0 || !connection->open) {
             co_return;
         }
         reply->correlation = correlation;
         reply->reply = true;
-        hub->stamp(*reply);
-        hub->enqueue(*connection, encode_frame(*reply));
+        links->set_sender(*reply);
+        links->enqueue(*connection, encode_frame(*reply));
     }
 
-    void stamp(wire::FrameT& frame) const {
+    void set_sender(wire::FrameT& frame) const {
         frame.sender = self.address;
         frame.sender_start_stamp = self.start_stamp;
     }
 
-    static asio::awaitable<void> accept_loop(std::shared_ptr<peer_links_state> hub) {
+    static asio::awaitable<void> accept_loop(std::shared_ptr<peer_links_state> links) {
         error_code ec;
-        while (!hub->closed) {
-            tcp::socket socket(hub->context);
-            co_await hub->acceptor->async_accept(socket, token(ec));
+        while (!links->closed) {
+            tcp::socket socket(links->context);
+            co_await links->acceptor->async_accept(socket, token(ec));
             if (ec == asio::error::operation_aborted) {
                 co_return;
             }
             if (ec) {
-                asio::steady_timer pause(hub->context, redial_pause);
+                asio::steady_timer pause(links->context, reconnect_delay);
                 co_await pause.async_wait(token(ec));
                 continue;
             }
-            auto connection = std::make_shared<link_connection>(std::move(socket));
-            std::erase_if(hub->accepted, [](const auto& weak) { return weak.expired(); });
-            hub->accepted.push_back(connection);
-            hub->start(connection);
+            auto connection = std::make_shared<peer_connection>(std::move(socket));
+            std::erase_if(links->accepted, [](const auto& weak) { return weak.expired(); });
+            links->accepted.push_back(connection);
+            links->start(connection);
         }
     }
 };
@@ -329,12 +329,12 @@
 }
 
 void peer_links::send(const std::string& peer, wire::FrameT frame) {
-    state_->stamp(frame);
+    state_->set_sender(frame);
     state_->send_to(peer, encode_frame(frame));
 }
 
 void peer_links::send_to_each(std::span<const std::string> peers, wire::FrameT frame) {
-    state_->stamp(frame);
+    state_->set_sender(frame);
     const std::string bytes = encode_frame(frame);
     for (const std::string& peer : peers) {
         state_->send_to(peer, bytes);
@@ -346,16 +346,16 @@
     auto state = state_;
     const std::uint64_t correlation = state->next_correlation++;
     frame.correlation = correlation;
-    state->stamp(frame);
+    state->set_sender(frame);
     auto pending = std::make_shared<internal::pending_call>(state->context, peer);
-    pending->arrived.expires_after(timeout);
+    pending->completion.expires_after(timeout);
     state->calls.emplace(correlation, pending);
     state->send_to(peer, encode_frame(frame));
     error_code ec;
-    co_await pending->arrived.async_wait(token(ec));
+    co_await pending->completion.async_wait(token(ec));
     state->calls.erase(correlation);
     if (!pending->reply) {
-        why.set(pending->refused ? link_error::not_connected : link_error::timed_out,
+        why.set(pending->connect_failed ? link_error::not_connected : link_error::timed_out,
                 "no reply from " + peer);
     }
     co_return std::move(pending->reply);
@@ -373,12 +373,12 @@
     }
     for (const auto& [address, peer] : state_->peers) {
         if (peer->connection) {
-            peer->connection->shut();
+            peer->connection->close_socket();
         }
     }
     for (const auto& weak : state_->accepted) {
         if (const auto connection = weak.lock()) {
-            connection->shut();
+            connection->close_socket();
         }
     }
 }
--- a/test/platform/platform_codec_test.cpp
+++ b/test/platform/platform_codec_test.cpp
@@ -90,7 +90,7 @@
 
 class foreign_entry : public testing::TestWithParam<foreign_entry_row> {};
 
-const std::string sound_entry =
+const std::string valid_entry =
     R"({"service":"s","address":"1.2.3.4:5","zone":"z","version":"v1",)"
     R"("slots":32,"state":"ready","cold_left_ms":0,"sequence":4,"born":7})";
 
@@ -124,8 +124,8 @@
 // sent there would reach nobody knows what.
 TEST_P(foreign_entry, names_no_server) {
     std::string why;
-    ASSERT_TRUE(platform_record_codec().read_backend("i-1", sound_entry, time_point{}, why)) << why;
-    std::string entry = sound_entry;
+    ASSERT_TRUE(platform_record_codec().read_backend("i-1", valid_entry, time_point{}, why)) << why;
+    std::string entry = valid_entry;
     const std::size_t at = entry.find(GetParam().from);
     ASSERT_NE(at, std::string::npos);
     entry.replace(at, GetParam().from.size(), GetParam().to);
@@ -133,22 +133,22 @@
     EXPECT_FALSE(why.empty());
 }
 
-const std::vector<keyed_record> spoiled_entries = {
-    {"i-0", "\xff\xfe{"}, {"i-1", sound_entry}, {"i-2", "[]"}, {"", sound_entry}};
+const std::vector<keyed_record> mixed_entries = {
+    {"i-0", "\xff\xfe{"}, {"i-1", valid_entry}, {"i-2", "[]"}, {"", valid_entry}};
 
-class spoiled_neighbour : public testing::TestWithParam<bool> {};
+class malformed_neighbour : public testing::TestWithParam<bool> {};
 
-INSTANTIATE_TEST_SUITE_P(table, spoiled_neighbour, testing::Bool(),
+INSTANTIATE_TEST_SUITE_P(table, malformed_neighbour, testing::Bool(),
                          [](const auto& info) { return info.param ? "at_start" : "in_the_tail"; });
 
 // Entries that can't be read stand among sound ones, at the start and later. The sound ones hold,
 // and a server that is known stays known while its entry can't be read.
-TEST_P(spoiled_neighbour, leaves_sound_entries_alone) {
+TEST_P(malformed_neighbour, leaves_sound_entries_alone) {
     platform_request_codec requests;
     platform_record_codec records;
     forwarding_state forwarding(requests, failure_domain_id("z"), {}, 1);
     deployment_state state(forwarding, records);
-    state.take_records(record_topic::backend_entries, spoiled_entries, GetParam(), time_point{});
+    state.take_records(record_topic::backend_entries, mixed_entries, GetParam(), time_point{});
     ASSERT_EQ(forwarding.registry.all().size(), 1u);
     EXPECT_EQ(forwarding.registry.all().front().id, backend_id("i-1"));
     const std::vector<keyed_record> unreadable = {{"i-1", "{"}};
--- a/test/platform/server_check_test.cpp
+++ b/test/platform/server_check_test.cpp
@@ -58,21 +58,22 @@
 }
 
 /// What a server does a moment after a connection to it broke.
-struct moment_row {
+struct closing_row {
     std::string name;
     /// Closes its listening socket with this connection, as at the end of its process; zero for
     /// never.
     int last_connection;
     process_state expected;
-    friend void PrintTo(const moment_row& row, std::ostream* out) { *out << row.name; }
+    friend void PrintTo(const closing_row& row, std::ostream* out) { *out << row.name; }
 };
 
-class server_that_closes_connections : public testing::TestWithParam<moment_row> {};
+class server_that_closes_connections : public testing::TestWithParam<closing_row> {};
 
 INSTANTIATE_TEST_SUITE_P(table, server_that_closes_connections,
-                         testing::Values(moment_row{"while_it_ends", 1, process_state::ended},
-                                         moment_row{"twice_while_it_ends", 2, process_state::ended},
-                                         moment_row{"at_its_limit", 0, process_state::running}),
+                         testing::Values(closing_row{"while_it_ends", 1, process_state::ended},
+                                         closing_row{"twice_while_it_ends", 2,
+                                                     process_state::ended},
+                                         closing_row{"at_its_limit", 0, process_state::running}),
                          [](const auto& info) { return info.param.name; });
 
 // Guards against an end that isn't seen because the listening socket outlives the connections, and
