--- a/bamboostream/src/Contracts/json_reader.cpp
+++ b/bamboostream/src/Contracts/json_reader.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-constexpr std::size_t deepest_nesting = 32;
-constexpr std::size_t longest_quote = 60;
+constexpr std::size_t max_nesting_depth = 32;
+constexpr std::size_t max_quoted_bytes = 60;
 
 std::string quote(const boost::json::value& value) {
     std::string text = boost::json::serialize(value);
-    if (text.size() > longest_quote) {
-        text = text.substr(0, longest_quote) + "…";
+    if (text.size() > max_quoted_bytes) {
+        text = text.substr(0, max_quoted_bytes) + "…";
     }
     return text;
 }
 
-const boost::json::value* find_at(const boost::json::value& value, std::string_view name) {
+const boost::json::value* find_member(const boost::json::value& value, std::string_view name) {
     return value.is_object() ? value.get_object().if_contains(name) : nullptr;
 }
 
@@ -31,14 +31,14 @@
 
 } // namespace
 
-std::string to_string(const json_mistake& mistake) {
-    return fmt::format("{}: found {}, expected {}", mistake.path, mistake.found, mistake.expected);
+std::string to_string(const validation_error& error) {
+    return fmt::format("{}: found {}, expected {}", error.path, error.found, error.expected);
 }
 
 std::optional<boost::json::value> parse_json(std::string_view text, std::string& why,
                                              boost::json::storage_ptr storage) {
     boost::json::parse_options options;
-    options.max_depth = deepest_nesting;
+    options.max_depth = max_nesting_depth;
     boost::json::error_code ec;
     boost::json::value value =
         boost::json::parse({text.data(), text.size()}, ec, std::move(storage), options);
@@ -50,10 +50,10 @@
 }
 
 json_reader::json_reader(const boost::json::value& value, std::string path,
-                         std::vector<json_mistake>& mistakes)
-    : object_(value.if_object()), path_(std::move(path)), mistakes_(&mistakes) {
+                         std::vector<validation_error>& errors)
+    : object_(value.if_object()), path_(std::move(path)), errors_(&errors) {
     if (object_ == nullptr) {
-        mistakes_->push_back({path_.empty() ? "(document)" : path_, quote(value), "an object"});
+        errors_->push_back({path_.empty() ? "(document)" : path_, quote(value), "an object"});
     }
 }
 
@@ -61,12 +61,12 @@
     return path_.empty() ? std::string(name) : fmt::format("{}/{}", path_, name);
 }
 
-void json_reader::mistake(std::string_view name, std::string found, std::string expected) {
-    mistakes_->push_back({path_of(name), std::move(found), std::move(expected)});
+void json_reader::error(std::string_view name, std::string found, std::string expected) {
+    errors_->push_back({path_of(name), std::move(found), std::move(expected)});
 }
 
 const boost::json::value* json_reader::child(std::string_view name) {
-    asked_.emplace_back(name);
+    requested_.emplace_back(name);
     return object_ == nullptr ? nullptr : object_->if_contains({name.data(), name.size()});
 }
 
@@ -76,70 +76,74 @@
         return std::string(value->get_string());
     }
     if (object_ != nullptr) {
-        mistake(name, value == nullptr ? "nothing" : quote(*value), "a text that isn't empty");
+        error(name, value == nullptr ? "nothing" : quote(*value), "a text that isn't empty");
     }
     return {};
 }
 
-std::string json_reader::text_or(std::string_view name, std::string_view otherwise) {
+std::string json_reader::text_or(std::string_view name, std::string_view default_value) {
     const boost::json::value* value = child(name);
     if (value == nullptr) {
-        return std::string(otherwise);
+        return std::string(default_value);
     }
     if (value->is_string()) {
         return std::string(value->get_string());
     }
-    mistake(name, quote(*value), "a text");
-    return std::string(otherwise);
+    error(name, quote(*value), "a text");
+    return std::string(default_value);
 }
 
-std::int64_t json_reader::number(std::string_view name, std::int64_t least, std::int64_t most) {
+std::int64_t json_reader::number(std::string_view name, std::int64_t min_value,
+                                 std::int64_t max_value) {
     const boost::json::value* value = child(name);
     if (value == nullptr) {
         if (object_ != nullptr) {
-            mistake(name, "nothing", fmt::format("a whole number from {} to {}", least, most));
+            error(name, "nothing",
+                  fmt::format("a whole number from {} to {}", min_value, max_value));
         }
-        return least;
+        return min_value;
     }
     boost::json::error_code ec;
-    const auto parsed = value->is_number() ? value->to_number<std::int64_t>(ec) : least - 1;
-    if (ec || !value->is_number() || parsed < least || parsed > most) {
-        mistake(name, quote(*value), fmt::format("a whole number from {} to {}", least, most));
-        return least;
+    const auto parsed = value->is_number() ? value->to_number<std::int64_t>(ec) : min_value - 1;
+    if (ec || !value->is_number() || parsed < min_value || parsed > max_value) {
+        error(name, quote(*value),
+              fmt::format("a whole number from {} to {}", min_value, max_value));
+        return min_value;
     }
     return parsed;
 }
 
-std::int64_t json_reader::number_or(std::string_view name, std::int64_t otherwise,
-                                    std::int64_t least, std::int64_t most) {
+std::int64_t json_reader::number_or(std::string_view name, std::int64_t default_value,
+                                    std::int64_t min_value, std::int64_t max_value) {
     if (object_ == nullptr || !object_->contains({name.data(), name.size()})) {
-        asked_.emplace_back(name);
-        return otherwise;
+        requested_.emplace_back(name);
+        return default_value;
     }
-    return number(name, least, most);
+    return number(name, min_value, max_value);
 }
 
-double json_reader::real_or(std::string_view name, double otherwise, double least, double most) {
+double json_reader::real_or(std::string_view name, double default_value, double min_value,
+                            double max_value) {
     const boost::json::value* value = child(name);
     if (value == nullptr) {
-        return otherwise;
+        return default_value;
     }
     const std::optional<double> parsed = as_real(*value);
-    if (!parsed || *parsed < least || *parsed > most) {
-        mistake(name, quote(*value), fmt::format("a number from {} to {}", least, most));
-        return otherwise;
+    if (!parsed || *parsed < min_value || *parsed > max_value) {
+        error(name, quote(*value), fmt::format("a number from {} to {}", min_value, max_value));
+        return default_value;
     }
     return *parsed;
 }
 
-bool json_reader::flag_or(std::string_view name, bool otherwise) {
+bool json_reader::flag_or(std::string_view name, bool default_value) {
     const boost::json::value* value = child(name);
     if (value == nullptr) {
-        return otherwise;
+        return default_value;
     }
     if (!value->is_bool()) {
-        mistake(name, quote(*value), "true or false");
-        return otherwise;
+        error(name, quote(*value), "true or false");
+        return default_value;
     }
     return value->get_bool();
 }
@@ -147,7 +151,7 @@
 const boost::json::object* json_reader::object_or_none(std::string_view name) {
     const boost::json::value* value = child(name);
     if (value != nullptr && !value->is_object()) {
-        mistake(name, quote(*value), "an object");
+        error(name, quote(*value), "an object");
     }
     return value == nullptr ? nullptr : value->if_object();
 }
@@ -155,7 +159,7 @@
 const boost::json::array* json_reader::array_or_none(std::string_view name) {
     const boost::json::value* value = child(name);
     if (value != nullptr && !value->is_array()) {
-        mistake(name, quote(*value), "an array");
+        error(name, quote(*value), "an array");
     }
     return value == nullptr ? nullptr : value->if_array();
 }
@@ -166,32 +170,32 @@
     }
     for (const auto& member : *object_) {
         const std::string_view name(member.key().data(), member.key().size());
-        if (std::find(asked_.begin(), asked_.end(), name) == asked_.end()) {
-            mistake(name, quote(member.value()), "no such field");
+        if (std::find(requested_.begin(), requested_.end(), name) == requested_.end()) {
+            error(name, quote(member.value()), "no such field");
         }
     }
 }
 
 std::string text_at(const boost::json::value& value, std::string_view name) {
-    const boost::json::value* found = find_at(value, name);
+    const boost::json::value* found = find_member(value, name);
     return found != nullptr && found->is_string() ? std::string(found->get_string())
                                                   : std::string{};
 }
 
 std::int64_t number_at(const boost::json::value& value, std::string_view name,
-                       std::int64_t otherwise) {
-    const boost::json::value* found = find_at(value, name);
+                       std::int64_t default_value) {
+    const boost::json::value* found = find_member(value, name);
     if (found == nullptr || !found->is_number()) {
-        return otherwise;
+        return default_value;
     }
     boost::json::error_code ec;
     const auto parsed = found->to_number<std::int64_t>(ec);
-    return ec ? otherwise : parsed;
+    return ec ? default_value : parsed;
 }
 
-double real_at(const boost::json::value& value, std::string_view name, double otherwise) {
-    const boost::json::value* found = find_at(value, name);
-    return found == nullptr ? otherwise : as_real(*found).value_or(otherwise);
+double real_at(const boost::json::value& value, std::string_view name, double default_value) {
+    const boost::json::value* found = find_member(value, name);
+    return found == nullptr ? default_value : as_real(*found).value_or(default_value);
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Core/rendezvous.h
+++ b/bamboostream/src/Core/rendezvous.h
@@ -10,30 +10,30 @@
 
 namespace bamboostream {
 
-/// One candidate for a role, with the failure domain it stands in.
+/// A candidate for the ownership of keys.
 struct rendezvous_node {
     std::string name;
     std::string failure_domain;
-    /// Whether it comes before those that are not preferred, whatever its weight.
+    /// Preferred nodes rank before all others, whatever their weight.
     bool preferred = true;
 };
 
-/// The `count` nodes that own `key`, by highest random weight among the preferred; the second and
-/// later ones are taken from other failure domains than the earlier ones while there are any. Every
-/// instance that knows the same nodes gets the same answer, and a node that goes away moves only
-/// the keys it owned.
+/// The `count` owners of `key` by rendezvous (highest random weight) hashing, preferred nodes
+/// first. Each further owner is taken from a failure domain that is not in use yet, as long as
+/// there is one. All instances that know the same nodes compute the same owners, and removing a
+/// node moves only the keys that it owned.
 inline std::vector<std::string>
 rendezvous_owners(std::string_view key, std::span<const rendezvous_node> nodes, std::size_t count) {
-    struct ranked {
+    struct weighted_node {
         std::uint64_t weight;
         const rendezvous_node* node;
     };
-    std::vector<ranked> order;
+    std::vector<weighted_node> order;
     order.reserve(nodes.size());
     for (const rendezvous_node& node : nodes) {
         order.push_back({stable_hash({key, node.name}), &node});
     }
-    std::sort(order.begin(), order.end(), [](const ranked& a, const ranked& b) {
+    std::sort(order.begin(), order.end(), [](const weighted_node& a, const weighted_node& b) {
         if (a.node->preferred != b.node->preferred) {
             return a.node->preferred;
         }
@@ -41,21 +41,21 @@
     });
     std::vector<std::string> owners;
     std::vector<std::string_view> used_domains;
-    const auto take = [&](bool new_domain_only) {
-        for (const ranked& r : order) {
-            const bool known_domain = std::find(used_domains.begin(), used_domains.end(),
-                                                r.node->failure_domain) != used_domains.end();
-            const bool taken =
+    const auto add_owners = [&](bool new_domain_only) {
+        for (const weighted_node& r : order) {
+            const bool domain_used = std::find(used_domains.begin(), used_domains.end(),
+                                               r.node->failure_domain) != used_domains.end();
+            const bool already_owner =
                 std::find(owners.begin(), owners.end(), r.node->name) != owners.end();
-            if (owners.size() == count || taken || (new_domain_only && known_domain)) {
+            if (owners.size() == count || already_owner || (new_domain_only && domain_used)) {
                 continue;
             }
             owners.push_back(r.node->name);
             used_domains.push_back(r.node->failure_domain);
         }
     };
-    take(true);
-    take(false);
+    add_owners(true);
+    add_owners(false);
     return owners;
 }
 
--- a/bamboostream/src/Forwarding/backend_contract.h
+++ b/bamboostream/src/Forwarding/backend_contract.h
@@ -2,7 +2,7 @@
 
 #include "bamboostream/src/Core/failure.h"
 #include "bamboostream/src/Forwarding/forward_request.h"
-#include "bamboostream/src/Http/http_channel.h"
+#include "bamboostream/src/Http/http_connection.h"
 #include "bamboostream/src/Http/http_server.h"
 
 #include <boost/asio/awaitable.hpp>
@@ -24,10 +24,10 @@
     virtual std::string serialize_request(const http_request& request,
                                           const attempt_parameters& send) const = 0;
     /// Interprets the head of a backend server's response to `request`.
-    virtual response_info parse_response(const http_channel& response,
+    virtual response_info parse_response(const http_connection& response,
                                          const forward_request& request) const = 0;
     /// The response header fields that are forwarded to the caller.
-    virtual std::vector<http_field> response_fields(const http_channel& response) const = 0;
+    virtual std::vector<http_field> response_fields(const http_connection& response) const = 0;
 };
 
 /// Why a generation was not moved.
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -82,21 +82,21 @@
     }
 }
 
-asio::awaitable<bool> forwarded_call::open_channel(const registered_backend& backend) {
+asio::awaitable<bool> forwarded_call::open_connection(const registered_backend& backend) {
     const time_point now = monotonic_now();
     const bool once = route_->repeats == repeat_rule::once;
-    channel_ = state_.channels.take(
+    connection_ = state_.connections.take(
         backend.address, once ? duration(max_idle_non_repeatable) : duration(max_idle_repeatable),
         now);
-    if (channel_) {
+    if (connection_) {
         co_return true;
     }
     ++state_.counters.new_connections;
-    channel_ = std::make_shared<http_channel>(exchange_.executor());
+    connection_ = std::make_shared<http_connection>(exchange_.executor());
     http_failure why;
     const auto remaining = std::chrono::duration_cast<milliseconds>(deadline_ - now);
-    co_return co_await channel_->connect(backend.address, std::min(connect_timeout, remaining),
-                                         why);
+    co_return co_await connection_->connect(backend.address, std::min(connect_timeout, remaining),
+                                            why);
 }
 
 time_point forwarded_call::attempt_deadline() const {
@@ -131,7 +131,7 @@
 asio::awaitable<std::optional<attempt_end>> forwarded_call::attempt(const destination& to) {
     log_send(to);
     register_work(to.backend.id);
-    if (!co_await open_channel(to.backend)) {
+    if (!co_await open_connection(to.backend)) {
         co_return fail(to, attempt_end::not_sent, "connection failed");
     }
     const time_point now = monotonic_now();
@@ -151,10 +151,10 @@
     send.time_left = std::chrono::duration_cast<milliseconds>(deadline_ - now);
     send.resume_after = splitter_.last_id();
     send.copy = to.copy;
-    channel_->send(state_.codec.serialize_request(exchange_.request(), send),
-                   exchange_.request().method == "HEAD");
-    if (!channel_->any_sent()) {
-        state_.channels.drop(to.backend.address);
+    connection_->send(state_.codec.serialize_request(exchange_.request(), send),
+                      exchange_.request().method == "HEAD");
+    if (!connection_->any_sent()) {
+        state_.connections.drop(to.backend.address);
         co_return fail(to, attempt_end::not_sent, "connection closed before the request was sent");
     }
     ++state_.counters.sends;
@@ -162,10 +162,10 @@
     sent_to_ = to.backend;
     response_head_received_ = false;
     work_before_send_ = to.work;
-    channel_->expire_at(to.copy ? deadline_ : attempt_deadline());
+    connection_->expire_at(to.copy ? deadline_ : attempt_deadline());
     http_failure why;
-    if (!co_await channel_->read_head(why)) {
-        co_return fail(to, channel_->timed_out() ? attempt_end::silent : attempt_end::lost,
+    if (!co_await connection_->read_head(why)) {
+        co_return fail(to, connection_->timed_out() ? attempt_end::silent : attempt_end::lost,
                        why.text);
     }
     response_head_received_ = true;
@@ -173,7 +173,7 @@
 }
 
 asio::awaitable<std::optional<attempt_end>> forwarded_call::handle_response(const destination& to) {
-    const response_info facts = state_.codec.parse_response(*channel_, request_);
+    const response_info facts = state_.codec.parse_response(*connection_, request_);
     if (facts.wrong_server) {
         state_.registry.mark_leaving(to.backend.id);
         if (state_.on_registry_change) {
@@ -182,14 +182,14 @@
     }
     if (facts.not_run || facts.wrong_server) {
         std::string ignored;
-        while (co_await channel_->read(ignored)) {
+        while (co_await connection_->read(ignored)) {
         }
         give_back(to);
         co_return fail(to, attempt_end::not_run,
                        facts.wrong_server ? "address belongs to another server" : "refused");
     }
     if (!facts.authentic) {
-        channel_->close();
+        connection_->close();
         co_return fail(to, attempt_end::lost, "response does not belong to this request");
     }
     if (route_->streaming && facts.status == 200) {
@@ -199,18 +199,19 @@
 }
 
 void forwarded_call::give_back(const destination& to) {
-    state_.channels.give_back(to.backend.address, std::exchange(channel_, nullptr),
-                              monotonic_now());
+    state_.connections.give_back(to.backend.address, std::exchange(connection_, nullptr),
+                                 monotonic_now());
 }
 
 asio::awaitable<std::optional<attempt_end>> forwarded_call::forward_body(const destination& to,
                                                                          response_info facts) {
-    saved_response response{facts.status, state_.codec.response_fields(*channel_), {}};
-    while (response.body.size() <= max_response_bytes && co_await channel_->read(response.body)) {
+    saved_response response{facts.status, state_.codec.response_fields(*connection_), {}};
+    while (response.body.size() <= max_response_bytes &&
+           co_await connection_->read(response.body)) {
     }
-    if (!channel_->complete()) {
-        const bool silent = channel_->timed_out();
-        channel_->close();
+    if (!connection_->complete()) {
+        const bool silent = connection_->timed_out();
+        connection_->close();
         co_return fail(to, silent ? attempt_end::silent : attempt_end::lost, "response incomplete");
     }
     give_back(to);
@@ -280,7 +281,7 @@
         stream_started_ = true;
         first_event_ = now;
         record_prefill();
-        const std::vector<http_field> fields = state_.codec.response_fields(*channel_);
+        const std::vector<http_field> fields = state_.codec.response_fields(*connection_);
         if (!co_await exchange_.begin_stream(status, {}, fields)) {
             co_return false;
         }
@@ -307,7 +308,7 @@
     std::string bytes;
     std::string events;
     event_order order = event_order::in_order;
-    while (order == event_order::in_order && co_await channel_->read(bytes)) {
+    while (order == event_order::in_order && co_await connection_->read(bytes)) {
         splitter_.append(bytes);
         bytes.clear();
         events.clear();
@@ -317,22 +318,22 @@
         }
         if (!co_await forward_events(events, facts.status)) {
             caller_left_ = true;
-            channel_->close();
+            connection_->close();
             co_return fail(to, attempt_end::lost, "caller disconnected");
         }
         stream_->output_tokens = static_cast<std::int64_t>(splitter_.events()) * tokens_per_event;
         const std::int64_t output = stream_->output_tokens + estimate_remaining_tokens(*stream_);
         update_work({1, request_.prompt_tokens + output, 0});
         if (is_resumable) {
-            channel_->expire_at(std::min(deadline_, monotonic_now() + max_event_gap));
+            connection_->expire_at(std::min(deadline_, monotonic_now() + max_event_gap));
         }
     }
     const bool complete_stream =
-        order == event_order::in_order && channel_->complete() && splitter_.at_boundary();
-    const bool ended_for_move = channel_->ended_by_close() && stream_->move_expected;
+        order == event_order::in_order && connection_->complete() && splitter_.at_boundary();
+    const bool ended_for_move = connection_->ended_by_close() && stream_->move_expected;
     if (!complete_stream || ended_for_move) {
-        const bool silent = channel_->timed_out();
-        channel_->close();
+        const bool silent = connection_->timed_out();
+        connection_->close();
         co_return fail(to, silent ? attempt_end::silent : attempt_end::lost,
                        order == event_order::broken ? "an event is missing" : "stream incomplete");
     }
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -44,8 +44,8 @@
     if (stream_) {
         state_.streams.remove(stream_->id);
     }
-    if (channel_) {
-        channel_->close();
+    if (connection_) {
+        connection_->close();
     }
     --state_.counters.open;
 }
@@ -262,7 +262,7 @@
 
 asio::awaitable<void> forwarded_call::run() {
     if (state_.leaving) {
-        exchange_.close_after();
+        exchange_.close_after_response();
     }
     if (const auto refused = co_await prepare_with_newest_configuration()) {
         co_await reject(*refused);
@@ -270,8 +270,8 @@
     }
     exchange_.watch_caller([this] {
         caller_left_ = true;
-        if (channel_) {
-            channel_->close();
+        if (connection_) {
+            connection_->close();
         }
         if (stream_) {
             stream_->move_signal.cancel();
@@ -328,8 +328,8 @@
         return;
     }
     withdrawn_ = true;
-    if (channel_) {
-        channel_->close();
+    if (connection_) {
+        connection_->close();
     }
 }
 
--- a/bamboostream/src/Forwarding/forwarded_call.h
+++ b/bamboostream/src/Forwarding/forwarded_call.h
@@ -72,7 +72,7 @@
     /// Makes one attempt. Returns nothing if the caller has received its complete response.
     boost::asio::awaitable<std::optional<attempt_end>> attempt(const destination& to);
     void log_send(const destination& to) const;
-    boost::asio::awaitable<bool> open_channel(const registered_backend& backend);
+    boost::asio::awaitable<bool> open_connection(const registered_backend& backend);
     time_point attempt_deadline() const;
     boost::asio::awaitable<std::optional<attempt_end>> handle_response(const destination& to);
     boost::asio::awaitable<std::optional<attempt_end>> forward_body(const destination& to,
@@ -120,7 +120,7 @@
     int priority_ = 0;
     attempt_history history_;
     std::vector<backend_id> avoid_;
-    std::shared_ptr<http_channel> channel_;
+    std::shared_ptr<http_connection> connection_;
     event_splitter splitter_;
     std::shared_ptr<active_stream> stream_;
     std::optional<saved_response> failure_;
--- a/bamboostream/src/Forwarding/forwarding_state.h
+++ b/bamboostream/src/Forwarding/forwarding_state.h
@@ -5,7 +5,7 @@
 #include "bamboostream/src/Forwarding/backend_contract.h"
 #include "bamboostream/src/Forwarding/engine_choice.h"
 #include "bamboostream/src/Forwarding/latency_metrics.h"
-#include "bamboostream/src/Http/http_channel_pool.h"
+#include "bamboostream/src/Http/http_connection_pool.h"
 #include "bamboostream/src/Limits/cold_start_limit.h"
 #include "bamboostream/src/Limits/engine_admission.h"
 #include "bamboostream/src/Limits/overload_tracker.h"
@@ -91,7 +91,7 @@
     std::unordered_map<service_id, overload_tracker> overloads;
     /// Results to report to the instances that choose engines for this one.
     outcome_collector engine_outcomes;
-    http_channel_pool channels;
+    http_connection_pool connections;
     server_check server_checks;
     /// Requests that crash the backend servers which execute them.
     quarantine_registry quarantine;
--- a/bamboostream/src/Gateway/announcement_delay.h
+++ b/bamboostream/src/Gateway/announcement_delay.h
@@ -18,7 +18,7 @@
 /// their offset doesn't change, so the amount by which a difference exceeds the smallest one is
 /// time in transit.
 ///
-/// Example: `as_of -= delay.excess_over_min(announcer, stamp, sent_at, machine_now());`
+/// Example: `as_of -= delay.excess_over_min(announcer, stamp, sent_at, time_since_boot());`
 class announcement_delay {
 public:
     /// The smallest difference is taken over the current and the previous window of this length. A
--- a/bamboostream/src/Gateway/configuration_distributor.cpp
+++ b/bamboostream/src/Gateway/configuration_distributor.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-configuration_distributor::configuration_distributor(asio::io_context& context, link_hub& links,
+configuration_distributor::configuration_distributor(asio::io_context& context, peer_links& links,
                                                      membership_service& membership,
                                                      deployment_state& state)
     : context_(context), links_(links), membership_(membership), state_(state),
--- a/bamboostream/src/Gateway/configuration_distributor.h
+++ b/bamboostream/src/Gateway/configuration_distributor.h
@@ -4,7 +4,7 @@
 #include "bamboostream/src/Gateway/deployment_state.h"
 #include "bamboostream/src/Gateway/document_fetcher.h"
 #include "bamboostream/src/Gateway/document_provider.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -25,7 +25,7 @@
 /// `document_fetcher` and `document_provider` decide what is requested and answered.
 class configuration_distributor {
 public:
-    configuration_distributor(boost::asio::io_context& context, link_hub& links,
+    configuration_distributor(boost::asio::io_context& context, peer_links& links,
                               membership_service& membership, deployment_state& state);
 
     void start();
@@ -61,7 +61,7 @@
     void on_document_processed(const encoded_document& received, document_result result);
 
     boost::asio::io_context& context_;
-    link_hub& links_;
+    peer_links& links_;
     membership_service& membership_;
     deployment_state& state_;
     document_provider provider_;
--- a/bamboostream/src/Gateway/gateway.cpp
+++ b/bamboostream/src/Gateway/gateway.cpp
@@ -76,7 +76,7 @@
     configuration_reader reader;
     store_read_policy read_policy;
     store_follower store;
-    link_hub links;
+    peer_links links;
     std::unique_ptr<membership_service> membership;
     std::unique_ptr<configuration_distributor> distributor;
     std::unique_ptr<store_update_exchange> store_updates;
@@ -168,7 +168,7 @@
             evacuation->on_leaving(change.backend);
         }
         if (change.event == registry_event::gone || change.event == registry_event::restarted) {
-            forwarding.channels.drop(change.backend.address);
+            forwarding.connections.drop(change.backend.address);
         }
         if (change.event == registry_event::restarted) {
             evacuation->on_restart(change.backend.id);
@@ -262,7 +262,7 @@
 asio::awaitable<void> gateway::parts::housekeeping() {
     bool was_ready = false;
     while (true) {
-        forwarding.channels.expire(monotonic_now());
+        forwarding.connections.expire(monotonic_now());
         forwarding.quarantine.expire(monotonic_now());
         flush_log();
         if (!was_ready && state.ready()) {
--- a/bamboostream/src/Gateway/peer_exchange.cpp
+++ b/bamboostream/src/Gateway/peer_exchange.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-peer_exchange::peer_exchange(asio::io_context& context, link_hub& links,
+peer_exchange::peer_exchange(asio::io_context& context, peer_links& links,
                              membership_service& membership, forwarding_state& forwarding,
                              store_update_exchange& store_updates,
                              configuration_distributor& distributor, owner_scheduler& scheduler,
--- a/bamboostream/src/Gateway/peer_exchange.h
+++ b/bamboostream/src/Gateway/peer_exchange.h
@@ -5,7 +5,7 @@
 #include "bamboostream/src/Evacuation/evacuation_service.h"
 #include "bamboostream/src/Gateway/owner_scheduler.h"
 #include "bamboostream/src/Gateway/store_update_exchange.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -21,10 +21,10 @@
 /// contains. Lives on one thread.
 class peer_exchange final : public evacuation_peers {
 public:
-    peer_exchange(boost::asio::io_context& context, link_hub& links, membership_service& membership,
-                  forwarding_state& forwarding, store_update_exchange& store_updates,
-                  configuration_distributor& distributor, owner_scheduler& scheduler,
-                  quarantine_exchange& quarantine);
+    peer_exchange(boost::asio::io_context& context, peer_links& links,
+                  membership_service& membership, forwarding_state& forwarding,
+                  store_update_exchange& store_updates, configuration_distributor& distributor,
+                  owner_scheduler& scheduler, quarantine_exchange& quarantine);
 
     void start();
     /// Handles a frame from another instance. Returns the reply, or null when there is none.
@@ -45,7 +45,7 @@
     std::unique_ptr<wire::FrameT> answer_movable(const backend_id& backend);
 
     boost::asio::io_context& context_;
-    link_hub& links_;
+    peer_links& links_;
     membership_service& membership_;
     forwarding_state& forwarding_;
     store_update_exchange& store_updates_;
--- a/bamboostream/src/Gateway/store_update_exchange.cpp
+++ b/bamboostream/src/Gateway/store_update_exchange.cpp
@@ -51,7 +51,7 @@
 
 } // namespace
 
-store_update_exchange::store_update_exchange(asio::io_context& context, link_hub& links,
+store_update_exchange::store_update_exchange(asio::io_context& context, peer_links& links,
                                              membership_service& membership,
                                              forwarding_state& forwarding, deployment_state& state,
                                              store_follower& store, store_read_policy& read_policy,
@@ -171,7 +171,7 @@
     }
     news.documents_sequence = static_cast<std::uint64_t>(state_.cordons().position);
     news.cordoned = to_wire(state_.cordons().domains);
-    news.told_at_ms = machine_now().count();
+    news.told_at_ms = time_since_boot().count();
     broadcast(std::move(news));
 }
 
@@ -264,7 +264,7 @@
     }
     const milliseconds transit_time =
         delays_.excess_over_min(announcer, relayed ? news.teller_stamp : stamp,
-                                milliseconds(news.told_at_ms), machine_now());
+                                milliseconds(news.told_at_ms), time_since_boot());
     wire::StoreNewsT aged = news;
     aged.entries_age_ms = increase_age(news.entries_age_ms, transit_time);
     aged.documents_age_ms = increase_age(news.documents_age_ms, transit_time);
--- a/bamboostream/src/Gateway/store_update_exchange.h
+++ b/bamboostream/src/Gateway/store_update_exchange.h
@@ -4,7 +4,7 @@
 #include "bamboostream/src/Gateway/announcement_delay.h"
 #include "bamboostream/src/Gateway/configuration_distributor.h"
 #include "bamboostream/src/Gateway/store_follower.h"
-#include "bamboostream/src/Links/link.h"
+#include "bamboostream/src/Links/peer_links.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -28,7 +28,7 @@
 /// one thread. See also `store_read_policy`.
 class store_update_exchange final : public read_coordinator {
 public:
-    store_update_exchange(boost::asio::io_context& context, link_hub& links,
+    store_update_exchange(boost::asio::io_context& context, peer_links& links,
                           membership_service& membership, forwarding_state& forwarding,
                           deployment_state& state, store_follower& store,
                           store_read_policy& read_policy, configuration_distributor& distributor);
@@ -85,7 +85,7 @@
     void update_staleness(record_topic topic, bool& stale, time_point now) const;
 
     boost::asio::io_context& context_;
-    link_hub& links_;
+    peer_links& links_;
     membership_service& membership_;
     forwarding_state& forwarding_;
     deployment_state& state_;
--- a/bamboostream/src/Http/http_channel.cpp
+++ b/bamboostream/src/Http/http_connection.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Http/http_channel.h"
+#include "bamboostream/src/Http/http_connection.h"
 
 #include "bamboostream/src/Http/address.h"
 
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Larger answers are cut off: no backend server of any deployment sends one.
+/// Larger responses are cut off; no backend server of any deployment sends one.
 constexpr std::uint64_t response_body_limit = 64ULL * 1024 * 1024;
 constexpr int first_final_status = 200;
 
@@ -29,22 +29,22 @@
     return ec.category() == http::make_error_code(http::error::bad_method).category();
 }
 
-/// A server may answer before it has read a long request and then read no further: what is sent
-/// next on that connection waits behind the rest until its time is up. The system takes a megabyte
-/// off a sender's hands unread, so a finished write doesn't tell; up to this size a request fits
-/// into what servers read at once.
-constexpr std::size_t surely_read_bytes = 64 * 1024;
+/// A server may respond before it has read a long request, and then read no further; the next
+/// request on the connection would wait behind the unread rest until it timed out. A completed
+/// write doesn't show that the server has read the request, because the kernel buffers up to a
+/// megabyte. Requests up to this size fit into what servers read at once.
+constexpr std::size_t max_reusable_request_bytes = 64 * 1024;
 
 } // namespace
 
-http_channel::http_channel(const asio::any_io_executor& executor)
+http_connection::http_connection(const asio::any_io_executor& executor)
     : socket_(executor), watchdog_(executor),
       buffer_(std::make_unique<std::array<char, 16 * 1024>>()) {}
 
-http_channel::~http_channel() = default;
+http_connection::~http_connection() = default;
 
-asio::awaitable<bool> http_channel::connect(std::string address, milliseconds timeout,
-                                            http_failure& why) {
+asio::awaitable<bool> http_connection::connect(std::string address, milliseconds timeout,
+                                               http_failure& why) {
     const auto endpoint = to_endpoint(address);
     if (!endpoint) {
         why.set(http_error::not_connected, "not an ip:port address: " + address);
@@ -63,57 +63,58 @@
     co_return true;
 }
 
-void http_channel::start_parser() {
+void http_connection::start_parser() {
     parser_.emplace();
     parser_->body_limit(response_body_limit);
     parser_->eager(true);
     parser_->skip(head_only_);
 }
 
-void http_channel::send(std::string bytes, bool head_only) {
+void http_connection::send(std::string bytes, bool head_only) {
     head_only_ = head_only;
     ended_by_close_ = false;
     any_sent_ = false;
-    out_ = std::move(bytes);
+    request_bytes_ = std::move(bytes);
     start_parser();
     beast::error_code ec;
-    std::size_t done = socket_.write_some(asio::buffer(out_), ec);
+    std::size_t written = socket_.write_some(asio::buffer(request_bytes_), ec);
     if (ec == asio::error::would_block || ec == asio::error::try_again) {
         ec = {};
-        done = 0;
+        written = 0;
     }
-    any_sent_ = done > 0;
+    any_sent_ = written > 0;
     if (ec) {
         close();
         return;
     }
-    if (done < out_.size()) {
+    if (written < request_bytes_.size()) {
         writing_ = true;
         any_sent_ = true;
         asio::co_spawn(
             socket_.get_executor(),
-            [self = shared_from_this(), done]() -> asio::awaitable<void> {
-                co_await self->write_rest(done);
+            [self = shared_from_this(), written]() -> asio::awaitable<void> {
+                co_await self->write_remaining(written);
             },
             asio::detached);
     }
 }
 
-asio::awaitable<void> http_channel::write_rest(std::size_t done) {
+asio::awaitable<void> http_connection::write_remaining(std::size_t written) {
     beast::error_code ec;
-    co_await asio::async_write(socket_, asio::buffer(out_.data() + done, out_.size() - done),
-                               token(ec));
-    // After an error the request is not whole: `writing_` stays set, so the connection is unfit.
+    co_await asio::async_write(
+        socket_, asio::buffer(request_bytes_.data() + written, request_bytes_.size() - written),
+        token(ec));
+    // After an error the request is incomplete: `writing_` stays set, which prevents reuse.
     writing_ = ec.failed();
 }
 
-asio::awaitable<bool> http_channel::read_head(http_failure& why) {
+asio::awaitable<bool> http_connection::read_head(http_failure& why) {
     beast::error_code ec;
     do {
         if (parser_->is_header_done()) {
             start_parser();
-            if (kept_ > 0) {
-                parse(kept_, ec);
+            if (unparsed_bytes_ > 0) {
+                parse(unparsed_bytes_, ec);
             }
         }
         while (!ec && !parser_->is_header_done()) {
@@ -129,9 +130,10 @@
     co_return true;
 }
 
-asio::awaitable<void> http_channel::read_once(beast::error_code& ec) {
+asio::awaitable<void> http_connection::read_once(beast::error_code& ec) {
     const std::size_t count = co_await socket_.async_read_some(
-        asio::buffer(buffer_->data() + kept_, buffer_->size() - kept_), token(ec));
+        asio::buffer(buffer_->data() + unparsed_bytes_, buffer_->size() - unparsed_bytes_),
+        token(ec));
     if (ec == asio::error::eof && parser_->got_some() && !parser_->is_done()) {
         ec = {};
         parser_->put_eof(ec);
@@ -142,11 +144,11 @@
         co_return;
     }
     if (!ec) {
-        parse(kept_ + count, ec);
+        parse(unparsed_bytes_ + count, ec);
     }
 }
 
-void http_channel::parse(std::size_t available, beast::error_code& ec) {
+void http_connection::parse(std::size_t available, beast::error_code& ec) {
     std::size_t used = 0;
     while (used < available && !parser_->is_done()) {
         const std::size_t taken =
@@ -160,26 +162,26 @@
             break;
         }
     }
-    kept_ = available - used;
+    unparsed_bytes_ = available - used;
     std::copy(buffer_->begin() + static_cast<std::ptrdiff_t>(used),
               buffer_->begin() + static_cast<std::ptrdiff_t>(available), buffer_->begin());
-    if (!ec && kept_ == buffer_->size()) {
+    if (!ec && unparsed_bytes_ == buffer_->size()) {
         ec = http::error::header_limit;
     }
 }
 
-int http_channel::status() const {
+int http_connection::status() const {
     return static_cast<int>(parser_->get().result_int());
 }
 
-std::string_view http_channel::field(std::string_view name) const {
+std::string_view http_connection::field(std::string_view name) const {
     const auto found = parser_->get().find(beast::string_view(name.data(), name.size()));
     return found == parser_->get().end()
                ? std::string_view{}
                : std::string_view(found->value().data(), found->value().size());
 }
 
-std::vector<http_field> http_channel::fields() const {
+std::vector<http_field> http_connection::fields() const {
     std::vector<http_field> out;
     for (const auto& field : parser_->get()) {
         out.push_back({std::string(field.name_string()), std::string(field.value())});
@@ -187,7 +189,7 @@
     return out;
 }
 
-asio::awaitable<bool> http_channel::read(std::string& into) {
+asio::awaitable<bool> http_connection::read(std::string& into) {
     beast::error_code ec;
     while (parser_->get().body().empty() && !parser_->is_done() && !ec) {
         co_await read_once(ec);
@@ -201,11 +203,11 @@
     co_return any;
 }
 
-bool http_channel::complete() const {
+bool http_connection::complete() const {
     return parser_ && parser_->is_done();
 }
 
-void http_channel::expire_at(time_point when) {
+void http_connection::expire_at(time_point when) {
     watchdog_.expires_at(when);
     watchdog_.async_wait([weak = weak_from_this()](const beast::error_code& ec) {
         const auto self = weak.lock();
@@ -216,27 +218,27 @@
     });
 }
 
-void http_channel::expire_never() {
+void http_connection::expire_never() {
     watchdog_.cancel();
 }
 
-void http_channel::close() {
+void http_connection::close() {
     beast::error_code ec;
     watchdog_.cancel();
     socket_.close(ec);
 }
 
-bool http_channel::answer_closes() const {
+bool http_connection::response_closes() const {
     return !parser_->get().keep_alive() || ended_by_close_;
 }
 
-bool http_channel::reusable() const {
-    const bool all_read = out_.size() <= surely_read_bytes;
-    return socket_.is_open() && complete() && kept_ == 0 && !writing_ && all_read &&
-           !answer_closes();
+bool http_connection::reusable() const {
+    const bool request_consumed = request_bytes_.size() <= max_reusable_request_bytes;
+    return socket_.is_open() && complete() && unparsed_bytes_ == 0 && !writing_ &&
+           request_consumed && !response_closes();
 }
 
-std::optional<seconds> http_channel::idle_limit() const {
+std::optional<seconds> http_connection::keep_alive_timeout() const {
     constexpr std::string_view name = "timeout=";
     const std::string_view text = field("Keep-Alive");
     const std::size_t at = text.find(name);
@@ -249,7 +251,7 @@
     return parsed.ec == std::errc{} ? std::optional(seconds(value)) : std::nullopt;
 }
 
-void http_channel::watch_idle() {
+void http_connection::watch_idle() {
     socket_.async_wait(asio::ip::tcp::socket::wait_read,
                        [weak = weak_from_this()](const beast::error_code& ec) {
                            const auto self = weak.lock();
@@ -259,7 +261,7 @@
                        });
 }
 
-void http_channel::stop_watching() {
+void http_connection::stop_watching() {
     beast::error_code ec;
     socket_.cancel(ec);
 }
--- a/bamboostream/src/Http/server_sent_events.cpp
+++ b/bamboostream/src/Http/server_sent_events.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// The part after "name:" and one optional space, or nothing when the line has another name.
-bool take_field(std::string_view line, std::string_view name, std::string_view& value) {
+/// Sets `value` to the part after "name:" and one optional space; false when the line has another
+/// name.
+bool parse_field(std::string_view line, std::string_view name, std::string_view& value) {
     if (line.substr(0, name.size()) != name || line.size() <= name.size() ||
         line[name.size()] != ':') {
         return false;
@@ -21,7 +22,7 @@
 
 } // namespace
 
-std::string& event_reader::buffer() {
+std::string& sse_parser::buffer() {
     if (begin_ > 0) {
         buffer_.erase(0, begin_);
         begin_ = 0;
@@ -29,7 +30,7 @@
     return buffer_;
 }
 
-bool event_reader::next(event& out) {
+bool sse_parser::next(event& out) {
     const std::string_view all = std::string_view(buffer_).substr(begin_);
     const std::size_t end = all.find("\n\n");
     if (end == std::string_view::npos) {
@@ -45,8 +46,8 @@
         if (!line.empty() && line.back() == '\r') {
             line.remove_suffix(1);
         }
-        const bool known = take_field(line, "data", out.data) ||
-                           take_field(line, "event", out.type) || take_field(line, "id", out.id);
+        const bool known = parse_field(line, "data", out.data) ||
+                           parse_field(line, "event", out.type) || parse_field(line, "id", out.id);
         out.comment_only = out.comment_only && !known;
         block = block.substr(std::min(line_end + 1, block.size()));
     }
--- a/bamboostream/src/Streams/relay.cpp
+++ b/bamboostream/src/Streams/relay.cpp
@@ -140,7 +140,7 @@
     watchdog_guard guard(watchdog);
     asio::co_spawn(executor_, run_idle_watchdog(watchdog), asio::detached);
     time_point last_progress = monotonic_now();
-    auto reader = std::make_unique<event_reader>();
+    auto reader = std::make_unique<sse_parser>();
     auto parser = std::make_unique<engine_event_parser>();
     while (true) {
         if (!stream) {
@@ -149,7 +149,7 @@
                 result.end = relay_end::lost;
                 break;
             }
-            reader = std::make_unique<event_reader>();
+            reader = std::make_unique<sse_parser>();
         }
         watchdog->stream = stream.get();
         watchdog->last_bytes = monotonic_now();
@@ -157,7 +157,7 @@
         watchdog->last_bytes = monotonic_now();
         watchdog->stream = nullptr;
         bool broken = !more;
-        event_reader::event event;
+        sse_parser::event event;
         while (!broken && reader->next(event)) {
             if (event.comment_only) {
                 continue;
@@ -191,7 +191,7 @@
                           backend_.text(), sequencer.generation(), parsed.sequence);
             }
         }
-        if (reader->overflown(max_event_bytes)) {
+        if (reader->buffered_more_than(max_event_bytes)) {
             broken = true;
         }
         if (out.caller_gone()) {
--- a/test/fuzz/input_fuzz.cpp
+++ b/test/fuzz/input_fuzz.cpp
@@ -1,5 +1,5 @@
-// Fuzzes everything that reads bytes from outside: frames of peers, resume handles, server-sent
-// events, events of engines, configuration documents and records. The first byte chooses.
+// Fuzzes all parsers of external input: frames of peers, resume handles, server-sent events, engine
+// events, configuration documents and log records. The first byte selects the parser.
 
 #include "bamboostream/Configuration"
 #include "bamboostream/Ledger"
@@ -24,14 +24,14 @@
     static const handle_signer signer({{"a", "a-secret-for-fuzzing", true}});
     handle_failure why;
     if (signer.verify(bytes, workspace_id("w"), 0, why)) {
-        std::abort(); // No bytes made without the secret may be accepted.
+        std::abort(); // A handle that was not signed with the secret must not be accepted.
     }
 }
 
 void fuzz_events(std::string_view bytes) {
-    event_reader reader;
+    sse_parser reader;
     reader.buffer() += bytes;
-    event_reader::event event;
+    sse_parser::event event;
     while (reader.next(event)) {
     }
 }
@@ -44,9 +44,9 @@
 
 void fuzz_document(std::string_view bytes) {
     std::string why;
-    std::vector<json_mistake> mistakes;
+    std::vector<validation_error> errors;
     if (const auto value = parse_json(bytes, why)) {
-        validate_document(*value, mistakes);
+        validate_document(*value, errors);
     }
 }
 
--- a/test/platform/translation_test.cpp
+++ b/test/platform/platform_codec_test.cpp
@@ -1,9 +1,9 @@
-// The platform's records, settings and store pages as typed values.
+// Decoding of the platform's records, settings and store pages.
 
 #include "bamboostream/Gateway"
-#include "platform/directory_translation.h"
-#include "platform/record_translation.h"
-#include "platform/request_translation.h"
+#include "platform/platform_directory_codec.h"
+#include "platform/platform_record_codec.h"
+#include "platform/platform_request_codec.h"
 #include "platform/settings_file.h"
 #include "platform/store_client.h"
 
@@ -27,9 +27,9 @@
   "idle_timeout_ms":15000},
  "tenants":[{"name":"t","api_keys":["k1","k2"],"priority":1}],"unknown":{}})";
 
-TEST(record_translation_test, reads_a_configuration) {
+TEST(platform_record_codec_test, reads_a_configuration) {
     std::string why;
-    const auto c = record_translation().read_configuration(document, why);
+    const auto c = platform_record_codec().read_configuration(document, why);
     ASSERT_TRUE(c) << why;
     EXPECT_EQ(c->version, 7);
     ASSERT_EQ(c->routes.size(), 5u);
@@ -58,14 +58,14 @@
 
 TEST_P(bad_document, is_refused_with_a_reason) {
     std::string why;
-    EXPECT_FALSE(record_translation().read_configuration(GetParam(), why));
+    EXPECT_FALSE(platform_record_codec().read_configuration(GetParam(), why));
     EXPECT_FALSE(why.empty());
-    EXPECT_FALSE(record_translation().read_backend("i-1", GetParam(), time_point{}, why));
+    EXPECT_FALSE(platform_record_codec().read_backend("i-1", GetParam(), time_point{}, why));
 }
 
-TEST(record_translation_test, reads_an_entry) {
+TEST(platform_record_codec_test, reads_an_entry) {
     std::string why;
-    const auto b = record_translation().read_backend(
+    const auto b = platform_record_codec().read_backend(
         "i-1",
         R"({"service":"s","address":"1.2.3.4:5","zone":"z","version":"v1","slots":32,
             "state":"draining","cold_left_ms":500,"sequence":4,"born":1790000000123})",
@@ -77,7 +77,7 @@
     EXPECT_EQ(b->started_ms, 1'790'000'000'123);
 }
 
-/// One field of a sound entry, replaced.
+/// A valid entry with one part replaced.
 struct foreign_entry_row {
     std::string name;
     std::string from;
@@ -90,7 +90,7 @@
 
 class foreign_entry : public testing::TestWithParam<foreign_entry_row> {};
 
-const std::string sound_entry =
+const std::string valid_entry =
     R"({"service":"s","address":"1.2.3.4:5","zone":"z","version":"v1",)"
     R"("slots":32,"state":"ready","cold_left_ms":0,"sequence":4,"born":7})";
 
@@ -120,35 +120,35 @@
                     foreign_entry_row{"start_is_a_fraction", R"("born":7)", R"("born":7.5)"}),
     [](const auto& info) { return info.param.name; });
 
-// Another writer puts an entry beside those of the engines. Whatever of it could be read, a request
-// sent there would reach nobody knows what.
-TEST_P(foreign_entry, names_no_server) {
+// Another writer adds an entry among those of the engines. It must be rejected as a whole, because
+// a request sent to its address might reach a server of another kind.
+TEST_P(foreign_entry, is_rejected) {
     std::string why;
-    ASSERT_TRUE(record_translation().read_backend("i-1", sound_entry, time_point{}, why)) << why;
-    std::string entry = sound_entry;
+    ASSERT_TRUE(platform_record_codec().read_backend("i-1", valid_entry, time_point{}, why)) << why;
+    std::string entry = valid_entry;
     const std::size_t at = entry.find(GetParam().from);
     ASSERT_NE(at, std::string::npos);
     entry.replace(at, GetParam().from.size(), GetParam().to);
-    EXPECT_FALSE(record_translation().read_backend("i-1", entry, time_point{}, why));
+    EXPECT_FALSE(platform_record_codec().read_backend("i-1", entry, time_point{}, why));
     EXPECT_FALSE(why.empty());
 }
 
-const std::vector<keyed_record> spoiled_entries = {
-    {"i-0", "\xff\xfe{"}, {"i-1", sound_entry}, {"i-2", "[]"}, {"", sound_entry}};
+const std::vector<keyed_record> mixed_entries = {
+    {"i-0", "\xff\xfe{"}, {"i-1", valid_entry}, {"i-2", "[]"}, {"", valid_entry}};
 
-class spoiled_neighbour : public testing::TestWithParam<bool> {};
+class malformed_neighbour : public testing::TestWithParam<bool> {};
 
-INSTANTIATE_TEST_SUITE_P(table, spoiled_neighbour, testing::Bool(),
+INSTANTIATE_TEST_SUITE_P(table, malformed_neighbour, testing::Bool(),
                          [](const auto& info) { return info.param ? "at_start" : "in_the_tail"; });
 
-// Entries that can't be read stand among sound ones, at the start and later. The sound ones hold,
-// and a server that is known stays known while its entry can't be read.
-TEST_P(spoiled_neighbour, leaves_sound_entries_alone) {
-    request_translation requests;
-    record_translation records;
+// Malformed entries occur among valid ones, in the first read and later. The valid entries take
+// effect, and a known server stays known while its entry can't be read.
+TEST_P(malformed_neighbour, does_not_affect_valid_entries) {
+    platform_request_codec requests;
+    platform_record_codec records;
     forwarding_state forwarding(requests, failure_domain_id("z"), {}, 1);
     deployment_state state(forwarding, records);
-    state.apply_records(record_topic::backend_entries, spoiled_entries, GetParam(), time_point{});
+    state.apply_records(record_topic::backend_entries, mixed_entries, GetParam(), time_point{});
     ASSERT_EQ(forwarding.registry.all().size(), 1u);
     EXPECT_EQ(forwarding.registry.all().front().id, backend_id("i-1"));
     const std::vector<keyed_record> unreadable = {{"i-1", "{"}};
@@ -163,9 +163,9 @@
                                   "bounds.retry_budget_slack=56\nbounds.ttl_max_s=5\n"
                                   "platform.address=1.2.3.9:7\nsomething.new=1\n";
 
-TEST(settings_file_test, reads_what_it_knows) {
-    std::vector<std::string> mistakes;
-    const auto s = parse_settings(good_settings, mistakes);
+TEST(settings_file_test, reads_known_names) {
+    std::vector<std::string> errors;
+    const auto s = parse_settings(good_settings, errors);
     ASSERT_TRUE(s);
     EXPECT_EQ(s->gateway.seeds.size(), 2u);
     EXPECT_EQ(s->gateway.grace, milliseconds(8'000));
@@ -173,33 +173,33 @@
     EXPECT_EQ(s->store_address, "1.2.3.9:7");
 }
 
-TEST(settings_file_test, reads_the_size_of_the_machine_where_it_is_stated) {
-    std::vector<std::string> mistakes;
-    EXPECT_EQ(parse_settings(good_settings, mistakes)->gateway.capacity, 0u);
+TEST(settings_file_test, reads_the_machine_size_if_specified) {
+    std::vector<std::string> errors;
+    EXPECT_EQ(parse_settings(good_settings, errors)->gateway.capacity, 0u);
     const auto s =
-        parse_settings(good_settings + "limits.cpu_share=0.12\nlimits.cores=2\n", mistakes);
+        parse_settings(good_settings + "limits.cpu_share=0.12\nlimits.cores=2\n", errors);
     ASSERT_TRUE(s);
     EXPECT_EQ(s->gateway.capacity, 240u);
-    EXPECT_FALSE(parse_settings(good_settings + "limits.cpu_share=much\n", mistakes));
+    EXPECT_FALSE(parse_settings(good_settings + "limits.cpu_share=much\n", errors));
 }
 
-TEST(settings_file_test, reads_bounds_where_they_are_stated) {
-    std::vector<std::string> mistakes;
-    EXPECT_FALSE(parse_settings(good_settings, mistakes)->gateway.leaving_bound);
+TEST(settings_file_test, reads_bounds_if_specified) {
+    std::vector<std::string> errors;
+    EXPECT_FALSE(parse_settings(good_settings, errors)->gateway.leaving_bound);
     const auto s = parse_settings(
-        good_settings + "bounds.drain_ms=3000\nbounds.config_apply_ms=2000\n", mistakes);
+        good_settings + "bounds.drain_ms=3000\nbounds.config_apply_ms=2000\n", errors);
     ASSERT_TRUE(s);
     EXPECT_EQ(s->gateway.leaving_bound, milliseconds(3'000));
     EXPECT_EQ(s->gateway.configuration_bound, milliseconds(2'000));
-    EXPECT_FALSE(parse_settings(good_settings + "bounds.drain_ms=soon\n", mistakes));
+    EXPECT_FALSE(parse_settings(good_settings + "bounds.drain_ms=soon\n", errors));
 }
 
-TEST(settings_file_test, names_all_mistakes_at_once) {
-    std::vector<std::string> mistakes;
-    EXPECT_FALSE(parse_settings("listen.front=nonsense\nbounds.grace_s=-3\nseeds=x\n", mistakes));
+TEST(settings_file_test, reports_all_errors_at_once) {
+    std::vector<std::string> errors;
+    EXPECT_FALSE(parse_settings("listen.front=nonsense\nbounds.grace_s=-3\nseeds=x\n", errors));
     for (const char* name :
          {"listen.front", "bounds.grace_s", "seeds", "zone", "platform.address"}) {
-        EXPECT_TRUE(std::any_of(mistakes.begin(), mistakes.end(), [&](const std::string& m) {
+        EXPECT_TRUE(std::any_of(errors.begin(), errors.end(), [&](const std::string& m) {
             return m.starts_with(name);
         })) << name;
     }
@@ -246,10 +246,10 @@
     }
 }
 
-// The store loses its newest records and hands out an older configuration, or a peer that lags
-// does. Taking it back would serve removed routes and keys again; the newest version stays.
+// The store loses its newest records and returns an older configuration, or a peer that lags behind
+// does. Applying it would serve removed routes and keys again, so the newest version must stay.
 TEST(deployment_state_test, never_goes_back_to_an_older_configuration) {
-    const record_translation codec;
+    const platform_record_codec codec;
     class no_requests final : public request_codec {
         std::optional<forward_request> parse_request(const http_request&,
                                                      std::string&) const override {
@@ -259,10 +259,13 @@
                                       const attempt_parameters&) const override {
             return {};
         }
-        response_info parse_response(const http_channel&, const forward_request&) const override {
+        response_info parse_response(const http_connection&,
+                                     const forward_request&) const override {
+            return {};
+        }
+        std::vector<http_field> response_fields(const http_connection&) const override {
             return {};
         }
-        std::vector<http_field> response_fields(const http_channel&) const override { return {}; }
     };
     const no_requests requests;
     forwarding_state forwarding(requests, failure_domain_id("z"), {}, 1);
