--- a/bamboostream/src/Control/claim_keeper.cpp
+++ b/bamboostream/src/Control/claim_service.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Control/claim_keeper.h"
+#include "bamboostream/src/Control/claim_service.h"
 
 #include "bamboostream/src/Control/frames.h"
 #include "bamboostream/src/Control/periodic.h"
@@ -27,17 +27,17 @@
 constexpr milliseconds gone_remembered{50'000};
 } // namespace
 
-claim_keeper::claim_keeper(asio::io_context& context, log_service& log,
-                           membership_service& membership, link_hub& links, timing times)
+claim_service::claim_service(asio::io_context& context, log_service& log,
+                             membership_service& membership, link_hub& links, timing times)
     : context_(context), log_(log), membership_(membership), links_(links), times_(times),
       queue_filled_(context) {}
 
-void claim_keeper::start() {
+void claim_service::start() {
     asio::co_spawn(context_, tail_loop(), asio::detached);
     asio::co_spawn(context_, append_loop(), asio::detached);
 }
 
-asio::awaitable<void> claim_keeper::tail_loop() {
+asio::awaitable<void> claim_service::tail_loop() {
     while (true) {
         log_failure why;
         const milliseconds wait = replayed_ ? times_.poll_wait : milliseconds(0);
@@ -69,14 +69,14 @@
     }
 }
 
-void claim_keeper::wake_readers() {
+void claim_service::wake_readers() {
     for (const auto& reader : readers_) {
         reader->cancel();
     }
     readers_.clear();
 }
 
-asio::awaitable<bool> claim_keeper::wait_for_news(time_point until) {
+asio::awaitable<bool> claim_service::wait_for_news(time_point until) {
     if (monotonic_now() >= until) {
         co_return false;
     }
@@ -86,12 +86,12 @@
     co_return monotonic_now() < until;
 }
 
-milliseconds claim_keeper::append_period() const {
+milliseconds claim_service::append_period() const {
     const auto instances = static_cast<int>(membership_.members().usable().size());
     return times_.append_share * std::max(instances, 1);
 }
 
-void claim_keeper::enqueue(ledger_entry entry) {
+void claim_service::enqueue(ledger_entry entry) {
     queue_.push_back(std::move(entry));
     queue_filled_.cancel();
 }
@@ -99,7 +99,7 @@
 /// Group commit: everything that gathered since the last append goes into one record. The pause
 /// between appends grows with the number of instances, so that together they keep to a share of
 /// what the log takes.
-asio::awaitable<void> claim_keeper::append_loop() {
+asio::awaitable<void> claim_service::append_loop() {
     while (true) {
         if (queue_.empty()) {
             co_await wait_on(queue_filled_, time_point::max());
@@ -135,7 +135,7 @@
     }
 }
 
-std::optional<claim_result> claim_keeper::refuse_by_age(std::string_view key) const {
+std::optional<claim_result> claim_service::refuse_by_age(std::string_view key) const {
     const wall_time made = uuid_v7_time(key);
     const wall_time now = wall_now();
     claim_result result;
@@ -153,8 +153,8 @@
     return std::nullopt;
 }
 
-asio::awaitable<claim_result> claim_keeper::claim(std::string workspace, std::string key,
-                                                  std::string call_digest, time_point deadline) {
+asio::awaitable<claim_result> claim_service::claim(std::string workspace, std::string key,
+                                                   std::string call_digest, time_point deadline) {
     if (auto refused = refuse_by_age(key)) {
         co_return *refused;
     }
@@ -182,10 +182,10 @@
 
 /// Makes a claim of this instance's own and waits for the log's word on it. Nothing when another
 /// claim came first, or when this one is void by now.
-asio::awaitable<std::optional<claim_result>> claim_keeper::compete(std::string workspace,
-                                                                   std::string key,
-                                                                   std::string call_digest,
-                                                                   time_point deadline) {
+asio::awaitable<std::optional<claim_result>> claim_service::compete(std::string workspace,
+                                                                    std::string key,
+                                                                    std::string call_digest,
+                                                                    time_point deadline) {
     if (!replayed_ || log_is_down_) {
         co_return co_await say_not_run(workspace, key, "the ledger's log is unavailable");
     }
@@ -231,8 +231,8 @@
 /// This request sent nothing, but an earlier one with the same key may have, through an instance
 /// whose records can't be read now. "Not run" is said only when every instance that could have
 /// sent the call is alive and says that it didn't; otherwise the honest word is "unknown".
-asio::awaitable<claim_result> claim_keeper::say_not_run(std::string workspace, std::string key,
-                                                        std::string reason) {
+asio::awaitable<claim_result> claim_service::say_not_run(std::string workspace, std::string key,
+                                                         std::string reason) {
     claim_result result;
     result.what = claim_result::kind::unknown;
     result.reason = reason + "; an earlier request with this key may have run";
@@ -266,7 +266,7 @@
 /// The first claim that stands has no outcome in the log yet: its claimant may know more. Nothing
 /// when the claim is void by now, so that a new one may be made.
 asio::awaitable<std::optional<claim_result>>
-claim_keeper::learn_from_claimant(std::string workspace, std::string key, time_point deadline) {
+claim_service::learn_from_claimant(std::string workspace, std::string key, time_point deadline) {
     claim_result result;
     result.what = claim_result::kind::unknown;
     while (true) {
@@ -303,8 +303,8 @@
 
 /// What the claimant says of a claim that stands. A claimant that is gone for good can't say, and
 /// that is "unknown" for ever; one that doesn't answer now counts as still running.
-asio::awaitable<claim_keeper::claimant_word>
-claim_keeper::ask_claimant(std::string workspace, std::string key, call_view view) {
+asio::awaitable<claim_service::claimant_word>
+claim_service::ask_claimant(std::string workspace, std::string key, call_view view) {
     claimant_word word;
     const auto own = own_.find(view.claim);
     if (own != own_.end()) {
@@ -340,7 +340,7 @@
 /// Asked about a claim: what became of it. Asked about a key (no claim named): "abandoned" when
 /// this instance has sent nothing for it.
 asio::awaitable<std::unique_ptr<wire::FrameT>>
-claim_keeper::handle_query(const wire::LedgerQueryT& query) {
+claim_service::handle_query(const wire::LedgerQueryT& query) {
     wire::LedgerReplyT reply;
     std::string claim = query.claim;
     if (claim.empty()) {
@@ -360,8 +360,8 @@
     co_return make_reply(std::move(reply));
 }
 
-void claim_keeper::decided(const std::string& workspace, const std::string& key,
-                           const std::string& claim, int status, const std::string& body) {
+void claim_service::decided(const std::string& workspace, const std::string& key,
+                            const std::string& claim, int status, const std::string& body) {
     own_[claim] = {own_state::decided, status, body, wall_now()};
     ledger_entry entry;
     entry.kind = ledger_kind::outcome;
@@ -373,12 +373,12 @@
     enqueue(std::move(entry));
 }
 
-void claim_keeper::left_unknown(const std::string& claim) {
+void claim_service::left_unknown(const std::string& claim) {
     own_[claim].state = own_state::unknown;
 }
 
-void claim_keeper::abandon(const std::string& workspace, const std::string& key,
-                           const std::string& claim) {
+void claim_service::abandon(const std::string& workspace, const std::string& key,
+                            const std::string& claim) {
     own_[claim].state = own_state::abandoned;
     own_[claim].at = wall_now();
     ledger_entry entry;
--- a/bamboostream/src/Control/claim_keeper.h
+++ b/bamboostream/src/Control/claim_service.h
@@ -45,7 +45,7 @@
 
 /// The asynchronous part of the ledger: groups claims, outcomes and voids into few appends, reads
 /// the log, and asks a claimant what became of its claim.
-class claim_keeper {
+class claim_service {
 public:
     struct timing {
         milliseconds poll_wait{2'000};
@@ -59,8 +59,8 @@
         milliseconds clock_tolerance{60'000};
     };
 
-    claim_keeper(boost::asio::io_context& context, log_service& log, membership_service& membership,
-                 link_hub& links, timing times);
+    claim_service(boost::asio::io_context& context, log_service& log,
+                  membership_service& membership, link_hub& links, timing times);
 
     void start();
     /// Claims a call until `deadline` (monotonic).
--- a/bamboostream/src/Entry/instance.cpp
+++ b/bamboostream/src/Entry/instance.cpp
@@ -161,10 +161,10 @@
     core.scheduling = std::make_unique<scheduling_service>(core.control, *core.configuration,
                                                            *core.membership, *core.links, seed);
     core.homes = std::make_unique<home_service>(*core.membership, *core.links);
-    claim_keeper::timing claim_times;
+    claim_service::timing claim_times;
     claim_times.window = s.ledger_window;
-    core.claims = std::make_unique<claim_keeper>(core.control, *core.log, *core.membership,
-                                                 *core.links, claim_times);
+    core.claims = std::make_unique<claim_service>(core.control, *core.log, *core.membership,
+                                                  *core.links, claim_times);
     core.placement =
         std::make_unique<placement_service>(core.control, *core.log, *core.configuration,
                                             *core.membership, placement_service::timing{});
--- a/bamboostream/src/Entry/instance_core.h
+++ b/bamboostream/src/Entry/instance_core.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "bamboostream/src/Control/claim_keeper.h"
+#include "bamboostream/src/Control/claim_service.h"
 #include "bamboostream/src/Control/configuration_service.h"
 #include "bamboostream/src/Control/home_service.h"
 #include "bamboostream/src/Control/membership_service.h"
@@ -61,7 +61,7 @@
     std::unique_ptr<configuration_service> configuration;
     std::unique_ptr<scheduling_service> scheduling;
     std::unique_ptr<home_service> homes;
-    std::unique_ptr<claim_keeper> claims;
+    std::unique_ptr<claim_service> claims;
     std::unique_ptr<placement_service> placement;
     std::unique_ptr<quarantine_service> quarantine;
     /// Choice of plain service replicas; control thread only.
--- a/bamboostream/src/Ledger/claim_table.h
+++ b/bamboostream/src/Ledger/claim_table.h
@@ -75,7 +75,7 @@
 /// The first claim of a call that isn't void wins, in the order of the log. A claim never changes
 /// hands: only its claimant dispatches, after reading it back, and only its claimant makes it
 /// void, after deciding never to dispatch it. So a claimant that was paused can do no harm when it
-/// wakes, and no lease is needed. Pure; see `claim_keeper` for the asynchronous part.
+/// wakes, and no lease is needed. Pure; see `claim_service` for the asynchronous part.
 class claim_table {
 public:
     /// Takes the next record. Records at or before the last one taken are ignored.
