--- a/bamboostream/src/Control/claim_service.cpp
+++ b/bamboostream/src/Control/claim_service.cpp
@@ -140,13 +140,13 @@
     const wall_time now = wall_now();
     claim_result result;
     if (made > now + times_.clock_tolerance.count()) {
-        result.what = claim_result::kind::not_run;
+        result.decision = claim_result::kind::not_run;
         result.reason = "the key's time lies in the future";
         return result;
     }
     if (made < now - times_.window.count() || made < table_.horizon()) {
         // The records that would tell may have been dropped, so "not run" could be a lie.
-        result.what = claim_result::kind::unknown;
+        result.decision = claim_result::kind::unknown;
         result.reason = "the key is too old to know whether its call has run";
         return result;
     }
@@ -164,7 +164,7 @@
                             !known.call_digest.empty() && known.call_digest != call_digest;
         if (reused) {
             claim_result result;
-            result.what = claim_result::kind::key_reused;
+            result.decision = claim_result::kind::key_reused;
             result.reason = "the key was used for another call";
             co_return result;
         }
@@ -206,7 +206,7 @@
         if (verdict == claim_verdict::won && monotonic_now() < deadline) {
             own_[claim].state = own_state::dispatched;
             claim_result result;
-            result.what = claim_result::kind::dispatch;
+            result.decision = claim_result::kind::dispatch;
             result.claim = claim;
             co_return result;
         }
@@ -234,7 +234,7 @@
 asio::awaitable<claim_result> claim_service::say_not_run(std::string workspace, std::string key,
                                                          std::string reason) {
     claim_result result;
-    result.what = claim_result::kind::unknown;
+    result.decision = claim_result::kind::unknown;
     result.reason = reason + "; an earlier request with this key may have run";
     const wall_time made = uuid_v7_time(key) - clock_skew.count();
     const member_table& members = membership_.members();
@@ -257,7 +257,7 @@
         all_known = answered && reply->message.AsLedgerReply()->abandoned;
     }
     if (all_known) {
-        result.what = claim_result::kind::not_run;
+        result.decision = claim_result::kind::not_run;
         result.reason = reason;
     }
     co_return result;
@@ -268,21 +268,21 @@
 asio::awaitable<std::optional<claim_result>>
 claim_service::learn_from_claimant(std::string workspace, std::string key, time_point deadline) {
     claim_result result;
-    result.what = claim_result::kind::unknown;
+    result.decision = claim_result::kind::unknown;
     while (true) {
         const call_view view = table_.view(workspace, key);
         if (view.standing == call_standing::unclaimed) {
             co_return std::nullopt;
         }
         if (view.standing == call_standing::decided) {
-            result.what = claim_result::kind::decided;
+            result.decision = claim_result::kind::decided;
             result.status = view.status;
             result.body = view.body;
             co_return result;
         }
         const claimant_word told = co_await ask_claimant(workspace, key, view);
         if (told.state == own_state::decided) {
-            result.what = claim_result::kind::decided;
+            result.decision = claim_result::kind::decided;
             result.status = told.status;
             result.body = told.body;
             co_return result;
@@ -373,7 +373,7 @@
     enqueue(std::move(entry));
 }
 
-void claim_service::left_unknown(const std::string& claim) {
+void claim_service::mark_unknown(const std::string& claim) {
     own_[claim].state = own_state::unknown;
 }
 
--- a/bamboostream/src/Control/claim_service.h
+++ b/bamboostream/src/Control/claim_service.h
@@ -36,7 +36,7 @@
         /// The key belongs to another call.
         key_reused,
     };
-    kind what = kind::not_run;
+    kind decision = kind::not_run;
     std::string claim;
     int status = 0;
     std::string body;
@@ -70,7 +70,7 @@
     void decided(const std::string& workspace, const std::string& key, const std::string& claim,
                  int status, const std::string& body);
     /// The dispatched call may or may not have run; the claim stands without an outcome.
-    void left_unknown(const std::string& claim);
+    void mark_unknown(const std::string& claim);
     /// The claim was won but not a byte of the call was sent and none ever will be.
     void abandon(const std::string& workspace, const std::string& key, const std::string& claim);
     boost::asio::awaitable<std::unique_ptr<wire::FrameT>>
--- a/bamboostream/src/Entry/service_handler.cpp
+++ b/bamboostream/src/Entry/service_handler.cpp
@@ -211,7 +211,7 @@
     const claim_result result = co_await core_.on_control([&]() -> asio::awaitable<claim_result> {
         return core_.claims->claim(call_.workspace, call_.key, digest, deadline_);
     });
-    switch (result.what) {
+    switch (result.decision) {
     case claim_result::kind::dispatch:
         co_await dispatch(result);
         break;
@@ -250,7 +250,7 @@
         } else if (last.why.code == service_error::not_run) {
             core_.claims->abandon(call_.workspace, call_.key, won.claim);
         } else {
-            core_.claims->left_unknown(won.claim);
+            core_.claims->mark_unknown(won.claim);
         }
         co_return;
     });
--- a/tools/prove.sh
+++ b/tools/prove.sh
@@ -43,8 +43,8 @@
 prove link_replacement $s/Streams/relay.cpp 'if (refusals >= timing_.refusals_until_lost) {' 'if (true) {' 'link_stalled|answers_lost'
 prove claim_before_dispatch $s/Ledger/claim_table.cpp 'return first_standing(found->second) == &*own ? claim_verdict::won : claim_verdict::lost;' 'return claim_verdict::won;' 'interleaving|same_key_at_all'
 prove late_void $s/Ledger/claim_table.cpp 'fresh.is_void = entry.kind == ledger_kind::void_claim;' 'fresh.is_void = false;' 'interleaving|void_before'
-prove honest_not_run $s/Control/claim_service.cpp 'result.what = claim_result::kind::unknown;
-    result.reason = reason + "; an earlier' 'result.what = claim_result::kind::not_run;
+prove honest_not_run $s/Control/claim_service.cpp 'result.decision = claim_result::kind::unknown;
+    result.reason = reason + "; an earlier' 'result.decision = claim_result::kind::not_run;
     result.reason = reason + "; an earlier' 'does_not_deny'
 prove sticky_leaving $s/Membership/backend_table.cpp 'const bool sticky = r.facts.state == backend_state::leaving;' 'const bool sticky = false;' 'backend_table_test'
 prove self_suspicion $s/Membership/member_table.cpp 'suspects_itself_ = many && now - failing_since_ < longest_self_suspicion;' 'suspects_itself_ = false;' 'suspects_itself'
