--- a/bamboostream/src/Control/quarantine_service.cpp
+++ b/bamboostream/src/Control/quarantine_service.cpp
@@ -61,7 +61,7 @@
     registry_.note_answer(request, monotonic_now());
 }
 
-asio::awaitable<void> quarantine_service::examine(lost_run run) {
+asio::awaitable<void> quarantine_service::examine(lost_attempt run) {
     const time_point lost_at = monotonic_now();
     const auto known = membership_.backends().find(run.server.text());
     const bool leaving = !known || known->state == backend_state::leaving;
--- a/bamboostream/src/Control/quarantine_service.h
+++ b/bamboostream/src/Control/quarantine_service.h
@@ -16,7 +16,7 @@
 namespace bamboostream {
 
 /// A run of a request whose connection to its backend server broke.
-struct lost_run {
+struct lost_attempt {
     request_digest request;
     std::string workspace;
     backend_id server;
@@ -54,7 +54,7 @@
     void note_answer(const request_digest& request);
     /// Finds out whether the server has ended, which speaks against the request unless the server
     /// was known to leave. As long as `server_check::check` takes.
-    boost::asio::awaitable<void> examine(lost_run run);
+    boost::asio::awaitable<void> examine(lost_attempt run);
 
     void hear(const wire::HarmReportT& report) { exchange_.hear(report); }
     std::unique_ptr<wire::FrameT> answer(const wire::HarmRequestT& request) const;
--- a/bamboostream/src/Entry/completion_handler.cpp
+++ b/bamboostream/src/Entry/completion_handler.cpp
@@ -235,7 +235,8 @@
         core_.quarantine->note_answer(digest());
     }
     if (result.end == relay_end::lost) {
-        lost_run run{digest(), workspace_.text(), place.backend, start_stamp, result.tokens > 0};
+        lost_attempt run{digest(), workspace_.text(), place.backend, start_stamp,
+                         result.tokens > 0};
         co_await core_.quarantine->examine(std::move(run));
     }
     if (result.end == relay_end::lost || result.unreachable) {
--- a/bamboostream/src/Entry/service_handler.cpp
+++ b/bamboostream/src/Entry/service_handler.cpp
@@ -133,7 +133,7 @@
         co_return;
     }
     if (ended.why.code == service_error::uncertain) {
-        lost_run run{digest(), call_.workspace, backend, start_stamp, false};
+        lost_attempt run{digest(), call_.workspace, backend, start_stamp, false};
         co_await core_.quarantine->examine(std::move(run));
     }
     core_.membership->observe_failure(backend.text());
