--- a/bamboostream/src/Configuration/configuration_state.cpp
+++ b/bamboostream/src/Configuration/configuration_state.cpp
@@ -93,7 +93,7 @@
     const auto submission = parse_submission(record, mistakes);
     verdict.id = text_at(record, "id");
     if (!submission) {
-        verdict.fate = submission_fate::invalid;
+        verdict.outcome = submission_outcome::invalid;
         for (const json_mistake& mistake : mistakes) {
             verdict.reasons.push_back(to_string(mistake));
         }
@@ -106,7 +106,7 @@
     }
     if (std::find(accepted_ids_.begin(), accepted_ids_.end(), submission->id) !=
         accepted_ids_.end()) {
-        verdict.fate = submission_fate::repeated;
+        verdict.outcome = submission_outcome::repeated;
         return verdict;
     }
     std::map<std::string, entry> next = entries_;
@@ -128,12 +128,12 @@
         }
     }
     if (!verdict.reasons.empty()) {
-        verdict.fate = submission_fate::conflict;
+        verdict.outcome = submission_outcome::conflict;
         return verdict;
     }
     auto document = validate_document(assemble(next), mistakes);
     if (!document) {
-        verdict.fate = submission_fate::invalid;
+        verdict.outcome = submission_outcome::invalid;
         for (const json_mistake& mistake : mistakes) {
             verdict.reasons.push_back(to_string(mistake));
         }
@@ -162,7 +162,7 @@
     if (history_.size() > remembered_history) {
         history_.pop_front();
     }
-    verdict.fate = submission_fate::accepted;
+    verdict.outcome = submission_outcome::accepted;
     verdict.version = version_;
     return verdict;
 }
--- a/bamboostream/src/Configuration/configuration_state.h
+++ b/bamboostream/src/Configuration/configuration_state.h
@@ -34,11 +34,11 @@
 };
 
 /// What became of a submission.
-enum class submission_fate : std::uint8_t { accepted, conflict, invalid, repeated, undecided };
+enum class submission_outcome : std::uint8_t { accepted, conflict, invalid, repeated, undecided };
 
 /// The verdict on one submission record of the log.
 struct submission_verdict {
-    submission_fate fate = submission_fate::undecided;
+    submission_outcome outcome = submission_outcome::undecided;
     std::string id;
     /// The version in force after it.
     std::int64_t version = 0;
--- a/bamboostream/src/Control/configuration_service.cpp
+++ b/bamboostream/src/Control/configuration_service.cpp
@@ -55,8 +55,8 @@
         if (!verdict) {
             continue;
         }
-        if (verdict->fate == submission_fate::conflict ||
-            verdict->fate == submission_fate::invalid) {
+        if (verdict->outcome == submission_outcome::conflict ||
+            verdict->outcome == submission_outcome::invalid) {
             log_event(events::configuration_rejected, "offset={} id={} reasons={}", record.offset,
                       verdict->id, verdict->reasons.size());
         }
@@ -167,7 +167,7 @@
     if (!offset && why.code == log_error::not_appended) {
         waiting_.erase(id);
         verdict.reasons.push_back("the log took no record: " + why.text);
-        verdict.fate = submission_fate::undecided;
+        verdict.outcome = submission_outcome::undecided;
         co_return verdict;
     }
     // Whether or not the answer came, only reading the record back decides.
--- a/bamboostream/src/Entry/operator_handler.cpp
+++ b/bamboostream/src/Entry/operator_handler.cpp
@@ -19,16 +19,16 @@
 constexpr std::array<std::string_view, 5> fate_names = {"accepted", "conflict", "invalid",
                                                         "repeated", "undecided"};
 
-int status_of(submission_fate fate) {
-    switch (fate) {
-    case submission_fate::accepted:
-    case submission_fate::repeated:
+int status_of(submission_outcome outcome) {
+    switch (outcome) {
+    case submission_outcome::accepted:
+    case submission_outcome::repeated:
         return 200;
-    case submission_fate::conflict:
+    case submission_outcome::conflict:
         return 409;
-    case submission_fate::invalid:
+    case submission_outcome::invalid:
         return 422;
-    case submission_fate::undecided:
+    case submission_outcome::undecided:
         break;
     }
     return 503;
@@ -218,7 +218,7 @@
             drop_needless(submission->changes, core_.configuration->state().document_json());
             if (submission->changes.empty()) {
                 submission_verdict nothing;
-                nothing.fate = submission_fate::repeated;
+                nothing.outcome = submission_outcome::repeated;
                 nothing.id = submission->id;
                 nothing.version = core_.configuration->version();
                 co_return nothing;
@@ -226,12 +226,12 @@
             co_return co_await core_.configuration->submit(*submission);
         });
     json::array reasons(verdict.reasons.begin(), verdict.reasons.end());
-    std::string body =
-        json::serialize(json::object{{"id", verdict.id},
-                                     {"fate", fate_names[static_cast<std::size_t>(verdict.fate)]},
-                                     {"version", verdict.version},
-                                     {"reasons", std::move(reasons)}});
-    co_await exchange.respond_json(status_of(verdict.fate), std::move(body));
+    std::string body = json::serialize(
+        json::object{{"id", verdict.id},
+                     {"fate", fate_names[static_cast<std::size_t>(verdict.outcome)]},
+                     {"version", verdict.version},
+                     {"reasons", std::move(reasons)}});
+    co_await exchange.respond_json(status_of(verdict.outcome), std::move(body));
 }
 
 asio::awaitable<void> operator_handler::validate_configuration(http_exchange& exchange) const {
--- a/test/configuration_test.cpp
+++ b/test/configuration_test.cpp
@@ -26,12 +26,12 @@
 
 TEST(configuration_state_test, first_of_two_racing_submissions_wins) {
     configuration_state state;
-    EXPECT_EQ(state.apply(submission(0, 0, "workspaces/a", workspace(1)))->fate,
-              submission_fate::accepted);
-    EXPECT_EQ(state.apply(submission(1, 1, "workspaces/a", workspace(2)))->fate,
-              submission_fate::accepted);
+    EXPECT_EQ(state.apply(submission(0, 0, "workspaces/a", workspace(1)))->outcome,
+              submission_outcome::accepted);
+    EXPECT_EQ(state.apply(submission(1, 1, "workspaces/a", workspace(2)))->outcome,
+              submission_outcome::accepted);
     const auto loser = state.apply(submission(2, 1, "workspaces/a", workspace(3)));
-    EXPECT_EQ(loser->fate, submission_fate::conflict);
+    EXPECT_EQ(loser->outcome, submission_outcome::conflict);
     EXPECT_EQ(loser->reasons.at(0), "workspaces/a");
     EXPECT_EQ(state.version(), 2);
 }
@@ -40,22 +40,22 @@
     configuration_state state;
     state.apply(submission(0, 0, "workspaces/a", workspace(1)));
     state.apply(submission(1, 1, "workspaces/a", nullptr));
-    EXPECT_EQ(state.apply(submission(2, 1, "workspaces/a", workspace(5)))->fate,
-              submission_fate::conflict);
+    EXPECT_EQ(state.apply(submission(2, 1, "workspaces/a", workspace(5)))->outcome,
+              submission_outcome::conflict);
     EXPECT_FALSE(state.document()->workspaces.contains("a"));
 }
 
 TEST(configuration_state_test, same_id_counts_once) {
     configuration_state state;
     state.apply(submission(0, 0, "workspaces/a", workspace(1), "x"));
-    EXPECT_EQ(state.apply(submission(1, 0, "workspaces/b", workspace(1), "x"))->fate,
-              submission_fate::repeated);
+    EXPECT_EQ(state.apply(submission(1, 0, "workspaces/b", workspace(1), "x"))->outcome,
+              submission_outcome::repeated);
 }
 
 TEST(configuration_state_test, invalid_document_is_refused_whole) {
     configuration_state state;
     const auto verdict = state.apply(submission(0, 0, "workspaces/a", workspace(-4)));
-    EXPECT_EQ(verdict->fate, submission_fate::invalid);
+    EXPECT_EQ(verdict->outcome, submission_outcome::invalid);
     EXPECT_EQ(state.version(), 0);
 }
 
@@ -69,8 +69,8 @@
     configuration_state reader;
     reader.note_first_offset(2);
     EXPECT_FALSE(reader.whole());
-    EXPECT_EQ(reader.apply(submission(2, 2, "workspaces/c", workspace(3)))->fate,
-              submission_fate::undecided);
+    EXPECT_EQ(reader.apply(submission(2, 2, "workspaces/c", workspace(3)))->outcome,
+              submission_outcome::undecided);
     reader.apply({3, 0, snapshot});
     EXPECT_TRUE(reader.whole());
     EXPECT_EQ(reader.version(), 3);
@@ -99,8 +99,8 @@
     EXPECT_FALSE(behind.adopt(older));
     EXPECT_FALSE(behind.adopt("not json"));
     EXPECT_EQ(behind.version(), 2);
-    EXPECT_EQ(behind.apply(submission(2, 1, "workspaces/a", workspace(9)))->fate,
-              submission_fate::conflict);
+    EXPECT_EQ(behind.apply(submission(2, 1, "workspaces/a", workspace(9)))->outcome,
+              submission_outcome::conflict);
 }
 
 // Whatever the operators submit, and however readers are interrupted, hand over and lose history,
