--- a/bamboostream/src/Configuration/configuration_state.h
+++ b/bamboostream/src/Configuration/configuration_state.h
@@ -68,7 +68,7 @@
     /// The offset after the last record taken.
     std::int64_t next_offset() const { return next_offset_; }
     /// True once the state is known to be whole.
-    bool whole() const { return whole_; }
+    bool is_complete() const { return whole_; }
     /// The document in force as JSON, or null before there is any.
     boost::json::value document_json() const;
     std::shared_ptr<const configuration_document> document() const { return document_; }
--- a/bamboostream/src/Control/configuration_service.cpp
+++ b/bamboostream/src/Control/configuration_service.cpp
@@ -95,7 +95,7 @@
 asio::awaitable<bool> configuration_service::ask_peer() {
     // The peer that says it has the newest version; any live one while this instance has a hole.
     std::string best;
-    std::int64_t newest = state_.whole() ? state_.version() : -1;
+    std::int64_t newest = state_.is_complete() ? state_.version() : -1;
     for (const member_facts& peer : membership_.members().others()) {
         if (peer.state == liveness::live && peer.configuration_version > newest) {
             newest = peer.configuration_version;
@@ -106,7 +106,7 @@
         co_return false;
     }
     wire::ConfigurationRequestT request;
-    request.newer_than = state_.whole() ? state_.version() : -1;
+    request.newer_than = state_.is_complete() ? state_.version() : -1;
     link_failure why;
     const auto reply = co_await links_.call(best, make_frame(request), peer_timeout, why);
     if (!reply || reply->message.type != wire::Message::ConfigurationReply) {
@@ -118,7 +118,7 @@
 asio::awaitable<void> configuration_service::peer_loop() {
     while (true) {
         co_await pause_for(peer_period);
-        if (log_is_down_ || !state_.whole()) {
+        if (log_is_down_ || !state_.is_complete()) {
             const bool newer = co_await ask_peer();
             if (newer) {
                 publish();
@@ -131,7 +131,7 @@
 configuration_service::handle_request(const wire::ConfigurationRequestT& request) {
     wire::ConfigurationReplyT reply;
     reply.version = state_.version();
-    if (state_.whole() && state_.version() > request.newer_than) {
+    if (state_.is_complete() && state_.version() > request.newer_than) {
         reply.state = state_.serialize();
     }
     return make_reply(std::move(reply));
@@ -144,7 +144,7 @@
         const auto owners = membership_.owners("role:configuration-snapshot", 1);
         const bool mine = !owners.empty() && owners.front() == membership_.own_address();
         const bool due = monotonic_now() - last_snapshot_seen_ >= times_.snapshot_period;
-        if (!mine || !due || log_is_down_ || !state_.whole() || state_.version() == 0) {
+        if (!mine || !due || log_is_down_ || !state_.is_complete() || state_.version() == 0) {
             continue;
         }
         log_failure why;
--- a/test/configuration_test.cpp
+++ b/test/configuration_test.cpp
@@ -68,11 +68,11 @@
     const std::string snapshot = writer.snapshot_record();
     configuration_state reader;
     reader.note_first_offset(2);
-    EXPECT_FALSE(reader.whole());
+    EXPECT_FALSE(reader.is_complete());
     EXPECT_EQ(reader.apply(submission(2, 2, "workspaces/c", workspace(3)))->outcome,
               submission_outcome::undecided);
     reader.apply({3, 0, snapshot});
-    EXPECT_TRUE(reader.whole());
+    EXPECT_TRUE(reader.is_complete());
     EXPECT_EQ(reader.version(), 3);
     EXPECT_EQ(reader.document()->workspaces.size(), 3U);
 }
@@ -85,7 +85,7 @@
     configuration_state reader;
     reader.note_first_offset(5);
     reader.apply({5, 0, old_snapshot});
-    EXPECT_FALSE(reader.whole());
+    EXPECT_FALSE(reader.is_complete());
     EXPECT_EQ(reader.version(), 0);
 }
 
@@ -140,7 +140,7 @@
             }
             RC_ASSERT(reader.version() >= last);
             last = reader.version();
-            if (reader.whole() && reader.next_offset() == peer.next_offset()) {
+            if (reader.is_complete() && reader.next_offset() == peer.next_offset()) {
                 RC_ASSERT(reader.version() == peer.version());
                 RC_ASSERT(reader.document_json() == peer.document_json());
             }
