--- a/bamboostream/src/Configuration/routing_configuration.h
+++ b/bamboostream/src/Configuration/routing_configuration.h
@@ -12,7 +12,7 @@
 namespace bamboostream {
 
 /// What a request of a route may be put through when its fate is unknown.
-enum class repeat_rule : std::uint8_t {
+enum class repeat_policy : std::uint8_t {
     /// Runs at most once; a lost answer stays lost.
     once,
     /// May run again on another backend server.
@@ -34,7 +34,7 @@
     std::string host;
     /// Begins and ends with a slash.
     std::string path_prefix;
-    repeat_rule repeats = repeat_rule::once;
+    repeat_policy repeats = repeat_policy::once;
     /// The answer is a stream of events.
     bool streaming = false;
     /// No workspace key is asked for.
--- a/bamboostream/src/Forwarding/attempt_policy.cpp
+++ b/bamboostream/src/Forwarding/attempt_policy.cpp
@@ -19,13 +19,13 @@
     may_have_run = may_have_run || end != attempt_end::not_run;
 }
 
-bool may_try_again(repeat_rule repeats, int most_attempts, const attempt_history& history,
+bool may_try_again(repeat_policy repeats, int most_attempts, const attempt_history& history,
                    attempt_end last) {
     if (history.sends >= most_attempts || history.failed_connects >= most_failed_connects) {
         return false;
     }
     const bool nothing_ran = last == attempt_end::not_sent || last == attempt_end::not_run;
-    return repeats != repeat_rule::once || (nothing_ran && !history.may_have_run);
+    return repeats != repeat_policy::once || (nothing_ran && !history.may_have_run);
 }
 
 final_answer choose_final_answer(const attempt_history& history, attempt_end last) {
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -80,7 +80,7 @@
 
 asio::awaitable<bool> forwarded_call::open_channel(const registered_backend& backend) {
     const time_point now = monotonic_now();
-    const bool once = route_->repeats == repeat_rule::once;
+    const bool once = route_->repeats == repeat_policy::once;
     channel_ = state_.channels.take(
         backend.address, once ? duration(most_idle_for_once) : duration(most_idle_for_repeatable),
         now);
@@ -262,7 +262,7 @@
 }
 
 bool forwarded_call::is_movable() const {
-    return route_->repeats == repeat_rule::once && service_->engine && service_->engine->moves;
+    return route_->repeats == repeat_policy::once && service_->engine && service_->engine->moves;
 }
 
 asio::awaitable<bool> forwarded_call::pass_on(std::string_view events, int status) {
@@ -295,7 +295,7 @@
     stream_->moved.reset();
     stream_->move_expected = false;
     splitter_.restart();
-    const bool may_go_on = route_->repeats == repeat_rule::resumable;
+    const bool may_go_on = route_->repeats == repeat_policy::resumable;
     const int tokens_per_event = service_->engine ? service_->engine->tokens_per_event : 1;
     std::string bytes;
     std::string events;
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -94,7 +94,7 @@
     if (state_.leaving && deadline_ > state_.ends_at) {
         return rejection{503, "leaving", refusal_cause::leaving};
     }
-    if (route_->repeats == repeat_rule::resumable) {
+    if (route_->repeats == repeat_policy::resumable) {
         splitter_ = event_splitter(request_.resume_after);
     }
     return std::nullopt;
--- a/bamboostream/src/Forwarding/latency_metrics.cpp
+++ b/bamboostream/src/Forwarding/latency_metrics.cpp
@@ -64,7 +64,7 @@
 latency_metrics::latency_metrics() : series_(std::make_unique<series>()) {}
 latency_metrics::~latency_metrics() = default;
 
-void latency_metrics::record(latency_stage stage, repeat_rule repeats, duration took) {
+void latency_metrics::record(latency_stage stage, repeat_policy repeats, duration took) {
     one_series& one =
         series_->all.at(static_cast<std::size_t>(stage)).at(static_cast<std::size_t>(repeats));
     const double seconds_taken = to_milliseconds(std::min(took, longest_told)) / 1000.0;
--- a/bamboostream/src/Forwarding/latency_metrics.h
+++ b/bamboostream/src/Forwarding/latency_metrics.h
@@ -33,7 +33,7 @@
     latency_metrics(const latency_metrics&) = delete;
     latency_metrics& operator=(const latency_metrics&) = delete;
 
-    void record(latency_stage stage, repeat_rule repeats, duration took);
+    void record(latency_stage stage, repeat_policy repeats, duration took);
     /// In the usual text exposition, in seconds.
     std::string exposition() const;
 
--- a/test/platform/forwarding_fixture.cpp
+++ b/test/platform/forwarding_fixture.cpp
@@ -21,7 +21,7 @@
     return asio::redirect_error(asio::use_awaitable, ec);
 }
 
-route_rule make_route(const std::string& name, repeat_rule repeats, int attempts) {
+route_rule make_route(const std::string& name, repeat_policy repeats, int attempts) {
     route_rule route;
     route.name = name;
     route.host = "host.example";
@@ -37,10 +37,10 @@
 routing_configuration make_configuration() {
     routing_configuration out;
     out.version = 1;
-    out.routes.push_back(make_route("once", repeat_rule::once, 1));
-    out.routes.push_back(make_route("safe", repeat_rule::repeatable, 2));
-    out.routes.push_back(make_route("long", repeat_rule::once, 1));
-    out.routes.push_back(make_route("label", repeat_rule::resumable, 2));
+    out.routes.push_back(make_route("once", repeat_policy::once, 1));
+    out.routes.push_back(make_route("safe", repeat_policy::repeatable, 2));
+    out.routes.push_back(make_route("long", repeat_policy::once, 1));
+    out.routes.push_back(make_route("label", repeat_policy::resumable, 2));
     for (const std::size_t stream : {2, 3}) {
         out.routes[stream].streaming = true;
         out.routes[stream].services = {{service_id("engines"), 1.0}};
--- a/test/platform/stream_decisions_test.cpp
+++ b/test/platform/stream_decisions_test.cpp
@@ -15,7 +15,7 @@
 
 struct attempt_row {
     std::string name;
-    repeat_rule repeats;
+    repeat_policy repeats;
     int most_attempts;
     std::vector<attempt_end> ends;
     bool again;
@@ -29,31 +29,33 @@
 INSTANTIATE_TEST_SUITE_P(
     table, attempt_decision,
     testing::Values(
-        attempt_row{"unsent", repeat_rule::once, 1, {not_sent}, true, final_answer::not_run},
-        attempt_row{"unsent_five_times", repeat_rule::once, 1, std::vector(5, not_sent), true,
+        attempt_row{"unsent", repeat_policy::once, 1, {not_sent}, true, final_answer::not_run},
+        attempt_row{"unsent_five_times", repeat_policy::once, 1, std::vector(5, not_sent), true,
                     final_answer::not_run},
-        attempt_row{"unsent_six_times", repeat_rule::once, 1, std::vector(6, not_sent), false,
+        attempt_row{"unsent_six_times", repeat_policy::once, 1, std::vector(6, not_sent), false,
                     final_answer::not_run},
-        attempt_row{"refused", repeat_rule::once, 1, {not_run}, false, final_answer::not_run},
+        attempt_row{"refused", repeat_policy::once, 1, {not_run}, false, final_answer::not_run},
         attempt_row{
-            "refused_with_room", repeat_rule::once, 2, {not_run}, true, final_answer::not_run},
-        attempt_row{"lost", repeat_rule::once, 3, {lost}, false, final_answer::unknown},
-        attempt_row{"silent", repeat_rule::once, 3, {silent}, false, final_answer::timed_out},
-        attempt_row{"failed", repeat_rule::once, 3, {failed}, false, final_answer::backend_failure},
-        attempt_row{"safe_lost", repeat_rule::repeatable, 2, {lost}, true, final_answer::unknown},
+            "refused_with_room", repeat_policy::once, 2, {not_run}, true, final_answer::not_run},
+        attempt_row{"lost", repeat_policy::once, 3, {lost}, false, final_answer::unknown},
+        attempt_row{"silent", repeat_policy::once, 3, {silent}, false, final_answer::timed_out},
+        attempt_row{
+            "failed", repeat_policy::once, 3, {failed}, false, final_answer::backend_failure},
+        attempt_row{"safe_lost", repeat_policy::repeatable, 2, {lost}, true, final_answer::unknown},
         attempt_row{"safe_lost_then_refused",
-                    repeat_rule::repeatable,
+                    repeat_policy::repeatable,
                     2,
                     {lost, not_run},
                     false,
                     final_answer::unknown},
         attempt_row{"safe_lost_then_unsent",
-                    repeat_rule::repeatable,
+                    repeat_policy::repeatable,
                     2,
                     {lost, not_sent},
                     true,
                     final_answer::unknown},
-        attempt_row{"stream_lost", repeat_rule::resumable, 2, {lost}, true, final_answer::unknown}),
+        attempt_row{
+            "stream_lost", repeat_policy::resumable, 2, {lost}, true, final_answer::unknown}),
     [](const auto& info) { return info.param.name; });
 
 TEST_P(attempt_decision, never_says_not_run_of_what_may_have_run) {
--- a/test/platform/translation_test.cpp
+++ b/test/platform/translation_test.cpp
@@ -33,9 +33,9 @@
     ASSERT_TRUE(c) << why;
     EXPECT_EQ(c->version, 7);
     ASSERT_EQ(c->routes.size(), 5u);
-    const std::vector<repeat_rule> repeats = {repeat_rule::resumable, repeat_rule::once,
-                                              repeat_rule::repeatable, repeat_rule::once,
-                                              repeat_rule::once};
+    const std::vector<repeat_policy> repeats = {repeat_policy::resumable, repeat_policy::once,
+                                                repeat_policy::repeatable, repeat_policy::once,
+                                                repeat_policy::once};
     for (std::size_t i = 0; i < repeats.size(); ++i) {
         EXPECT_EQ(c->routes[i].repeats, repeats[i]) << c->routes[i].name;
     }
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -74,7 +74,7 @@
     ("removals that readers conclude", "Gateway/change_follower.h",
      "return next >= position_;", "return next > position_ && next < 0;"),
     ("further sends", "Forwarding/attempt_policy.cpp",
-     "return repeats != repeat_rule::once || (nothing_ran && !history.may_have_run);",
+     "return repeats != repeat_policy::once || (nothing_ran && !history.may_have_run);",
      "return nothing_ran && !history.may_have_run;"),
 ]
 
