--- a/bamboostream/src/Configuration/document_encoding.cpp
+++ b/bamboostream/src/Configuration/document_encoding.cpp
@@ -73,17 +73,17 @@
                                            document_failure& why) {
     const bool is_change = encoded.base_digest != 0;
     if (is_change && digest_of(base) != encoded.base_digest) {
-        why.set(document_error::other_base, "a change of another document");
+        why.set(document_error::base_mismatch, "a change of another document");
         return std::nullopt;
     }
     const std::string& bytes = *encoded.bytes;
     // Asked of the bytes themselves before memory is taken for what they say.
     const auto size = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
     if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN) {
-        why.set(document_error::damaged, "not an encoded document");
+        why.set(document_error::corrupt, "not an encoded document");
         return std::nullopt;
     }
-    if (size > most_document_bytes) {
+    if (size > max_document_bytes) {
         why.set(document_error::too_large, "unpacks to more than any document");
         return std::nullopt;
     }
@@ -95,7 +95,7 @@
     const std::size_t got =
         ZSTD_decompressDCtx(context.get(), out.data(), out.size(), bytes.data(), bytes.size());
     if (ZSTD_isError(got) != 0 || got != out.size() || digest_of(out) != encoded.digest) {
-        why.set(document_error::damaged, "the digest of the document differs");
+        why.set(document_error::corrupt, "the digest of the document differs");
         return std::nullopt;
     }
     return out;
--- a/bamboostream/src/Configuration/document_encoding.h
+++ b/bamboostream/src/Configuration/document_encoding.h
@@ -17,15 +17,15 @@
     /// It is, or says that it unpacks to, more than any deployment needs.
     too_large,
     /// It is a change of another document than the one that is held.
-    other_base,
+    base_mismatch,
     /// The bytes aren't what their sender encoded.
-    damaged,
+    corrupt,
 };
 using document_failure = failure<document_error>;
 
 /// Documents over this size are refused: it holds several times the routes of the largest
 /// deployment planned, and two of it fit into the smallest instances.
-inline constexpr std::size_t most_document_bytes = 16 * 1024 * 1024;
+inline constexpr std::size_t max_document_bytes = 16 * 1024 * 1024;
 
 /// A document as it goes between instances: compressed, whole or as the change of another one.
 ///
--- a/bamboostream/src/Gateway/deployment_state.cpp
+++ b/bamboostream/src/Gateway/deployment_state.cpp
@@ -51,7 +51,7 @@
         taken.settle(document_verdict::not_newer);
         return;
     }
-    if (text.size() > most_document_bytes) {
+    if (text.size() > max_document_bytes) {
         reject(origin, "too large");
         taken.settle(document_verdict::rejected);
         return;
--- a/bamboostream/src/Gateway/document_fetch.cpp
+++ b/bamboostream/src/Gateway/document_fetch.cpp
@@ -139,8 +139,8 @@
 }
 
 bool document_fetch::is_sound(const document_piece& piece) const {
-    return piece.document_bytes <= most_document_bytes &&
-           piece.encoded_bytes <= most_document_bytes && piece.bytes.size() <= piece_bytes &&
+    return piece.document_bytes <= max_document_bytes &&
+           piece.encoded_bytes <= max_document_bytes && piece.bytes.size() <= piece_bytes &&
            !piece.bytes.empty() && piece.bytes.size() <= piece.encoded_bytes &&
            piece.offset <= piece.encoded_bytes - piece.bytes.size();
 }
--- a/test/platform/configuration_reader_test.cpp
+++ b/test/platform/configuration_reader_test.cpp
@@ -53,18 +53,18 @@
 
 INSTANTIATE_TEST_SUITE_P(
     table, read_beside,
-    testing::Values(
-        order_row{"one", {with_version(5)}, 5, 0},
-        order_row{"newer_after_older", {with_version(5), with_version(6)}, 6, 0},
-        order_row{"older_after_newer", {with_version(6), with_version(5)}, 6, 0},
-        order_row{"the_same_twice", {with_version(5), with_version(5)}, 5, 0},
-        order_row{"damaged_between", {with_version(5), "{broken", with_version(6)}, 6, 1},
-        order_row{"too_large", {with_version(5), blanks(most_document_bytes + 1)}, 5, 1},
-        order_row{
-            "more_than_wait",
-            {with_version(5), with_version(6), with_version(7), with_version(8), with_version(9)},
-            9,
-            0}),
+    testing::Values(order_row{"one", {with_version(5)}, 5, 0},
+                    order_row{"newer_after_older", {with_version(5), with_version(6)}, 6, 0},
+                    order_row{"older_after_newer", {with_version(6), with_version(5)}, 6, 0},
+                    order_row{"the_same_twice", {with_version(5), with_version(5)}, 5, 0},
+                    order_row{
+                        "damaged_between", {with_version(5), "{broken", with_version(6)}, 6, 1},
+                    order_row{"too_large", {with_version(5), blanks(max_document_bytes + 1)}, 5, 1},
+                    order_row{"more_than_wait",
+                              {with_version(5), with_version(6), with_version(7), with_version(8),
+                               with_version(9)},
+                              9,
+                              0}),
     [](const auto& info) { return info.param.name; });
 
 // Versions come faster than they can be read, from the store and from peers. Requests go on by the
--- a/test/platform/document_transfer_test.cpp
+++ b/test/platform/document_transfer_test.cpp
@@ -52,25 +52,25 @@
     table, damaged_encoding,
     testing::Values(
         damage_row{"other_base", [](encoded_document& e) { e.base_digest = 1; },
-                   document_error::other_base},
+                   document_error::base_mismatch},
         damage_row{"digest_of_another", [](encoded_document& e) { ++e.digest; },
-                   document_error::damaged},
+                   document_error::corrupt},
         damage_row{"a_byte_changed",
                    [](encoded_document& e) {
                        std::string bytes = *e.bytes;
                        bytes[bytes.size() / 2] ^= 1;
                        replace(e, std::move(bytes));
                    },
-                   document_error::damaged},
+                   document_error::corrupt},
         damage_row{"cut",
                    [](encoded_document& e) { replace(e, e.bytes->substr(0, e.bytes->size() / 2)); },
-                   document_error::damaged},
+                   document_error::corrupt},
         damage_row{"not_encoded", [](encoded_document& e) { replace(e, "{}"); },
-                   document_error::damaged},
-        damage_row{"empty", [](encoded_document& e) { replace(e, ""); }, document_error::damaged},
+                   document_error::corrupt},
+        damage_row{"empty", [](encoded_document& e) { replace(e, ""); }, document_error::corrupt},
         damage_row{"unpacks_to_much",
                    [](encoded_document& e) {
-                       const std::string large(most_document_bytes + 1, 'x');
+                       const std::string large(max_document_bytes + 1, 'x');
                        replace(e, *encode_document(2, large, {}).bytes);
                    },
                    document_error::too_large}),
@@ -269,7 +269,7 @@
         wrong_row{"larger_than_said", [](document_piece& p) { p.encoded_bytes = 10; },
                   piece_verdict::unsound},
         wrong_row{"larger_than_any",
-                  [](document_piece& p) { p.document_bytes = most_document_bytes + 1; },
+                  [](document_piece& p) { p.document_bytes = max_document_bytes + 1; },
                   piece_verdict::unsound},
         wrong_row{"more_than_a_piece", [](document_piece& p) { p.bytes.resize(piece_bytes + 1); },
                   piece_verdict::unsound},
--- a/tools/prove.sh
+++ b/tools/prove.sh
@@ -105,7 +105,7 @@
 prove handed_on $s/Gateway/configuration_spread.cpp 'if (const auto question = fetch_.next(now)) {' 'if (const auto question = fetch_.next(now); question && false) {' 'a_configuration_is_handed_on'
 prove document_digest $s/Configuration/document_encoding.cpp '|| digest_of(out) != encoded.digest' '' 'damaged_encoding'
 prove document_base $s/Configuration/document_encoding.cpp 'digest_of(base) != encoded.base_digest' 'false' 'damaged_encoding'
-prove document_limit $s/Configuration/document_encoding.cpp 'if (size > most_document_bytes) {' 'if (false) {' 'damaged_encoding'
+prove document_limit $s/Configuration/document_encoding.cpp 'if (size > max_document_bytes) {' 'if (false) {' 'damaged_encoding'
 prove resumed_where_it_stopped $s/Gateway/document_fetch.cpp 'out.request.offset = static_cast<std::uint32_t>(transfer_->got.size());' 'out.request.offset = 0;' 'goes_on_at_another_holder'
 prove pieces_in_order $s/Gateway/document_fetch.cpp 'if (piece.offset != t.got.size()) {' 'if (false) {' 'wrong_piece|a_late_piece'
 prove whole_after_damage $s/Gateway/document_fetch.cpp 'const bool is_wanted = !whole_wanted_ || piece.base_digest == 0;' 'const bool is_wanted = true;' 'after_damage'
