--- a/bamboostream/src/Configuration/routing_configuration.h
+++ b/bamboostream/src/Configuration/routing_configuration.h
@@ -48,7 +48,7 @@
     /// Rank; 0 is the most urgent.
     int priority = 0;
     /// Most backend servers that one request may be sent to.
-    int most_attempts = 1;
+    int max_attempts = 1;
     std::vector<weighted_service> services;
 };
 
@@ -73,7 +73,7 @@
     service_id id;
     std::string health_path;
     /// Connections one backend server accepts from all instances together.
-    int most_connections = 0;
+    int max_connections = 0;
     /// Requests a second that a backend server bears while it is cold; zero for no bound.
     double cold_per_second = 0.0;
     std::optional<engine_rule> engine;
--- a/bamboostream/src/Entry/completion_handler.cpp
+++ b/bamboostream/src/Entry/completion_handler.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr int most_attempts = 8;
+constexpr int max_attempts = 8;
 constexpr milliseconds attach_poll{50};
 /// When an engine was lost, another try may start at once elsewhere.
 constexpr milliseconds come_back_after_loss{100};
@@ -247,7 +247,7 @@
 asio::awaitable<completion_handler::ending> completion_handler::run_attempts() {
     ending end;
     const std::string& unique = request_.key.empty() ? claimant_ : request_.key;
-    for (int attempt = 0; attempt < most_attempts; ++attempt) {
+    for (int attempt = 0; attempt < max_attempts; ++attempt) {
         const std::uint64_t place_id =
             stable_hash({workspace_.text(), unique, std::to_string(attempt)});
         const place_request wanted = make_place_request(place_id);
--- a/bamboostream/src/Forwarding/attempt_policy.cpp
+++ b/bamboostream/src/Forwarding/attempt_policy.cpp
@@ -19,9 +19,9 @@
     may_have_run = may_have_run || end != attempt_end::not_run;
 }
 
-bool may_try_again(repeat_policy repeats, int most_attempts, const attempt_history& history,
+bool may_try_again(repeat_policy repeats, int max_attempts, const attempt_history& history,
                    attempt_end last) {
-    if (history.sends >= most_attempts || history.failed_connects >= most_failed_connects) {
+    if (history.sends >= max_attempts || history.failed_connects >= most_failed_connects) {
         return false;
     }
     const bool nothing_ran = last == attempt_end::not_sent || last == attempt_end::not_run;
--- a/bamboostream/src/Forwarding/attempt_policy.h
+++ b/bamboostream/src/Forwarding/attempt_policy.h
@@ -54,9 +54,9 @@
 inline constexpr int most_failed_connects = 6;
 
 /// Whether a request whose last send ended like this may be sent to another backend server. A
-/// request that must run once is sent again only while nothing of it has left: `most_attempts`
+/// request that must run once is sent again only while nothing of it has left: `max_attempts`
 /// counts sends, whatever became of them.
-bool may_try_again(repeat_policy repeats, int most_attempts, const attempt_history& history,
+bool may_try_again(repeat_policy repeats, int max_attempts, const attempt_history& history,
                    attempt_end last);
 
 /// What the caller is told when the last send ended like this and no other follows.
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -97,7 +97,7 @@
 time_point forwarded_call::attempt_limit() const {
     attempt_history after = history_;
     after.note(attempt_end::silent);
-    if (!may_try_again(route_->repeats, route_->most_attempts, after, attempt_end::silent)) {
+    if (!may_try_again(route_->repeats, route_->max_attempts, after, attempt_end::silent)) {
         return deadline_;
     }
     return std::min(deadline_, monotonic_now() + objectives_a_try * route_->objective);
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -343,7 +343,7 @@
     if (withdrawn_ || is_held()) {
         return false;
     }
-    if (now >= deadline_ || !may_try_again(route_->repeats, route_->most_attempts, history_, end)) {
+    if (now >= deadline_ || !may_try_again(route_->repeats, route_->max_attempts, history_, end)) {
         return false;
     }
     return history_.sends == 0 || state_.budget.try_spend(service_->id, state_.live_instances, now);
--- a/test/platform/forwarding_fixture.cpp
+++ b/test/platform/forwarding_fixture.cpp
@@ -29,7 +29,7 @@
     route.repeats = repeats;
     route.timeout = milliseconds(900);
     route.objective = milliseconds(150);
-    route.most_attempts = attempts;
+    route.max_attempts = attempts;
     route.services = {{service_id("calls"), 1.0}};
     return route;
 }
--- a/test/platform/stream_decisions_test.cpp
+++ b/test/platform/stream_decisions_test.cpp
@@ -16,7 +16,7 @@
 struct attempt_row {
     std::string name;
     repeat_policy repeats;
-    int most_attempts;
+    int max_attempts;
     std::vector<attempt_end> ends;
     bool again;
     final_answer answer;
@@ -64,7 +64,7 @@
         history.note(end);
     }
     const attempt_end last = GetParam().ends.back();
-    EXPECT_EQ(may_try_again(GetParam().repeats, GetParam().most_attempts, history, last),
+    EXPECT_EQ(may_try_again(GetParam().repeats, GetParam().max_attempts, history, last),
               GetParam().again);
     EXPECT_EQ(choose_final_answer(history, last), GetParam().answer);
 }
--- a/test/platform/translation_test.cpp
+++ b/test/platform/translation_test.cpp
@@ -40,7 +40,7 @@
         EXPECT_EQ(c->routes[i].repeats, repeats[i]) << c->routes[i].name;
     }
     EXPECT_EQ(c->routes[1].services.size(), 2u);
-    EXPECT_EQ(c->routes[0].most_attempts, 2);
+    EXPECT_EQ(c->routes[0].max_attempts, 2);
     EXPECT_TRUE(c->routes[2].anonymous);
     ASSERT_TRUE(c->services[0].engine);
     EXPECT_EQ(c->services[0].engine->tokens_per_event, 4);
