--- a/bamboostream/src/Control/membership_service.cpp
+++ b/bamboostream/src/Control/membership_service.cpp
@@ -85,7 +85,7 @@
 asio::awaitable<bool> membership_service::ask(std::string peer, std::string target,
                                               milliseconds timeout) {
     link_failure why;
-    wire::ProbeT probe = to_wire(members_.gossip_to_tell());
+    wire::ProbeT probe = to_wire(members_.probe_gossip());
     probe.target = target;
     auto reply = co_await links_.call(peer, make_frame(std::move(probe)), timeout, why);
     if (!reply || reply->message.type != wire::Message::Probe) {
@@ -94,7 +94,7 @@
     const wire::ProbeT& answer = *reply->message.AsProbe();
     const member_gossip told = from_wire(answer);
     members_.hear(told, reply->sender, monotonic_now());
-    if (const auto missing = members_.missing_at(told)) {
+    if (const auto missing = members_.gossip_missing_at(told)) {
         links_.send(peer, make_frame(to_wire(*missing)));
     }
     // A helper that could not reach the target answers without naming it.
@@ -125,7 +125,7 @@
     if (!target.empty()) {
         reached = co_await ask(target, "", gossip_timing.probe_timeout);
     }
-    wire::ProbeT answer = to_wire(members_.answer_to(heard));
+    wire::ProbeT answer = to_wire(members_.answer_gossip(heard));
     answer.target = reached ? target : std::string{};
     report_changes();
     co_return make_reply(std::move(answer));
--- a/bamboostream/src/Membership/member_table.cpp
+++ b/bamboostream/src/Membership/member_table.cpp
@@ -283,7 +283,7 @@
     }
 }
 
-member_gossip member_table::gossip_to_tell() {
+member_gossip member_table::probe_gossip() {
     member_gossip out{{self_}, summary(), {}};
     tell_rumours(out.facts);
     if (differs_) {
@@ -292,7 +292,7 @@
     return out;
 }
 
-member_gossip member_table::answer_to(const member_gossip& heard) {
+member_gossip member_table::answer_gossip(const member_gossip& heard) {
     member_gossip out{{self_}, summary(), {}};
     if (heard.summary == 0 || heard.summary == out.summary) {
         tell_rumours(out.facts);
@@ -309,7 +309,7 @@
     return out;
 }
 
-std::optional<member_gossip> member_table::missing_at(const member_gossip& answer) {
+std::optional<member_gossip> member_table::gossip_missing_at(const member_gossip& answer) {
     if (answer.keys.empty()) {
         return std::nullopt;
     }
--- a/bamboostream/src/Membership/member_table.h
+++ b/bamboostream/src/Membership/member_table.h
@@ -104,11 +104,11 @@
     /// Takes over what a peer told. `direct` marks the sender's own facts about itself.
     void merge(const member_facts& heard, bool direct, time_point now);
     /// What to say in a probe: one's own facts first, then the least told changes.
-    member_gossip gossip_to_tell();
+    member_gossip probe_gossip();
     /// What to answer to a probe, after it has been heard.
-    member_gossip answer_to(const member_gossip& heard);
+    member_gossip answer_gossip(const member_gossip& heard);
     /// What the sender of an answer turned out to lack; nothing when it lacks nothing.
-    std::optional<member_gossip> missing_at(const member_gossip& answer);
+    std::optional<member_gossip> gossip_missing_at(const member_gossip& answer);
     /// Takes over what `sender` told.
     void hear(const member_gossip& told, std::string_view sender, time_point now);
     /// When to choose probes again.
--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -322,9 +322,9 @@
                     to.hear(heard, from.self().id.address, now);
                     return heard;
                 };
-                const member_gossip asked = carry(own.gossip_to_tell(), own, other);
-                const member_gossip answer = carry(other.answer_to(asked), other, own);
-                if (const auto missing = own.missing_at(answer)) {
+                const member_gossip asked = carry(own.probe_gossip(), own, other);
+                const member_gossip answer = carry(other.answer_gossip(asked), other, own);
+                if (const auto missing = own.gossip_missing_at(answer)) {
                     carry(*missing, own, other);
                 }
                 own.probe_answered(peer, now);
--- a/test/membership_test.cpp
+++ b/test/membership_test.cpp
@@ -70,11 +70,11 @@
     }
     void exchange(member_table& a, const std::string& a_name, member_table& b,
                   const std::string& b_name) {
-        const member_gossip asked = a.gossip_to_tell();
+        const member_gossip asked = a.probe_gossip();
         b.hear(asked, a_name, now_);
-        const member_gossip answer = b.answer_to(asked);
+        const member_gossip answer = b.answer_gossip(asked);
         a.hear(answer, b_name, now_);
-        if (const auto missing = a.missing_at(answer)) {
+        if (const auto missing = a.gossip_missing_at(answer)) {
             b.hear(*missing, a_name, now_);
         }
     }
@@ -191,14 +191,14 @@
     void probe(const std::string& name, instance& from) {
         for (const std::string& peer : from.table->choose_probes(now_)) {
             instance& to = instances_.at(peer);
-            const member_gossip asked = from.table->gossip_to_tell();
+            const member_gossip asked = from.table->probe_gossip();
             to.table->hear(asked, name, now_);
-            const member_gossip answer = to.table->answer_to(asked);
+            const member_gossip answer = to.table->answer_gossip(asked);
             from.table->hear(answer, peer, now_);
             from.table->probe_answered(peer, now_);
             count(from, asked);
             count(to, answer);
-            if (const auto missing = from.table->missing_at(answer)) {
+            if (const auto missing = from.table->gossip_missing_at(answer)) {
                 to.table->hear(*missing, name, now_);
                 count(from, *missing);
             }
