--- a/bamboostream/src/Control/membership_service.cpp
+++ b/bamboostream/src/Control/membership_service.cpp
@@ -156,8 +156,8 @@
         list_failure why;
         const auto list = co_await list_->read(why);
         if (list) {
-            members_.learn_seeds(list->instances, monotonic_now());
-            backends_.learn_list(list->backends, monotonic_now());
+            members_.set_seeds(list->instances, monotonic_now());
+            backends_.update_from_list(list->backends, monotonic_now());
             report_changes();
         } else if (!list_was_down_) {
             log_event(events::platform_list_unavailable, "reason={}", why.text);
--- a/bamboostream/src/Gateway/deployment_state.cpp
+++ b/bamboostream/src/Gateway/deployment_state.cpp
@@ -208,11 +208,11 @@
         if (all) {
             entries.push_back(std::move(*entry));
         } else {
-            forwarding_.registry.learn(*entry, now);
+            forwarding_.registry.update(*entry, now);
         }
     }
     if (all) {
-        forwarding_.registry.learn_all(entries, unreadable, now);
+        forwarding_.registry.update_all(entries, unreadable, now);
     }
     report_changes(fact_source::store, now);
 }
@@ -227,7 +227,7 @@
     const bool knows_nothing = forwarding_.registry.empty() && entries_.position() == 0;
     if (!entries.empty() && (position > entries_.position() || knows_nothing)) {
         entries_.caught_up(position);
-        forwarding_.registry.learn_from_peer(entries, now);
+        forwarding_.registry.update_from_peer(entries, now);
     }
     report_changes(fact_source::peer_list, now);
 }
--- a/bamboostream/src/Gateway/store_news.cpp
+++ b/bamboostream/src/Gateway/store_news.cpp
@@ -303,7 +303,7 @@
         } else if (fact->lapsed) {
             forwarding_.registry.remove(backend_id(fact->id), now);
         } else {
-            forwarding_.registry.learn(from_wire(*fact, now), now);
+            forwarding_.registry.update(from_wire(*fact, now), now);
         }
     }
     state_.report_changes(fact_source::telling, now);
--- a/bamboostream/src/Membership/backend_registry.cpp
+++ b/bamboostream/src/Membership/backend_registry.cpp
@@ -5,7 +5,7 @@
 
 namespace bamboostream {
 
-void backend_registry::learn(const registered_backend& backend, time_point) {
+void backend_registry::update(const registered_backend& backend, time_point) {
     const auto found = backends_.find(backend.id);
     const bool known = found != backends_.end();
     if (known && backend.started_ms < found->second.backend.started_ms) {
@@ -104,27 +104,27 @@
     return found != backends_.end() && found->second.removal_due;
 }
 
-void backend_registry::learn_all(std::span<const registered_backend> entries,
-                                 std::span<const backend_id> unreadable, time_point now) {
+void backend_registry::update_all(std::span<const registered_backend> entries,
+                                  std::span<const backend_id> unreadable, time_point now) {
     std::set<backend_id> listed(unreadable.begin(), unreadable.end());
     for (const registered_backend& backend : entries) {
         listed.insert(backend.id);
-        learn(backend, now);
+        update(backend, now);
     }
     for (const backend_id& id : missing_from(listed)) {
         remove(id, now);
     }
 }
 
-void backend_registry::learn_from_peer(std::span<const peer_backend> entries, time_point now) {
+void backend_registry::update_from_peer(std::span<const peer_backend> entries, time_point now) {
     const bool knows_nothing = empty();
     std::set<backend_id> listed;
     for (const peer_backend& entry : entries) {
         listed.insert(entry.backend.id);
         if (!entry.lapsed) {
-            learn(entry.backend, now);
+            update(entry.backend, now);
         } else if (knows_nothing) {
-            learn(entry.backend, now);
+            update(entry.backend, now);
             backends_.at(entry.backend.id).removal_due = now + return_grace;
         } else {
             remove(entry.backend.id, now);
--- a/bamboostream/src/Membership/backend_registry.h
+++ b/bamboostream/src/Membership/backend_registry.h
@@ -64,16 +64,16 @@
     static constexpr milliseconds least_outage{1'000};
 
     /// An entry from the store.
-    void learn(const registered_backend& backend, time_point now);
+    void update(const registered_backend& backend, time_point now);
     /// The store says that the entry was removed.
     void remove(const backend_id& id, time_point now);
     /// All entries at one moment; those that are missing count as removed. `unreadable` names
     /// entries that are there and say nothing; what is known of such a server stays.
-    void learn_all(std::span<const registered_backend> entries,
-                   std::span<const backend_id> unreadable, time_point now);
+    void update_all(std::span<const registered_backend> entries,
+                    std::span<const backend_id> unreadable, time_point now);
     /// Entries as another instance believes them that knows more than this one. What lapsed there
     /// is no reason to list a server that isn't listed here, unless nothing is.
-    void learn_from_peer(std::span<const peer_backend> entries, time_point now);
+    void update_from_peer(std::span<const peer_backend> entries, time_point now);
     /// Another instance believes that the server is gone.
     void forget(const backend_id& id);
     /// The server itself or another instance says that it leaves.
--- a/bamboostream/src/Membership/backend_table.cpp
+++ b/bamboostream/src/Membership/backend_table.cpp
@@ -17,7 +17,7 @@
     changes_.push_back({r.facts, before, false});
 }
 
-void backend_table::learn_list(const std::vector<backend_facts>& listed, time_point) {
+void backend_table::update_from_list(const std::vector<backend_facts>& listed, time_point) {
     for (auto& [address, r] : backends_) {
         r.listed = false;
     }
--- a/bamboostream/src/Membership/backend_table.h
+++ b/bamboostream/src/Membership/backend_table.h
@@ -48,7 +48,7 @@
 public:
     /// Replaces the set by the platform's list. Servers that are no longer listed are kept while
     /// they answer, since a list may also be incomplete after an outage.
-    void learn_list(const std::vector<backend_facts>& listed, time_point now);
+    void update_from_list(const std::vector<backend_facts>& listed, time_point now);
     /// The server answered a poll or a request with this life and state.
     void observe(std::string_view address, wall_time start_stamp, backend_state state,
                  time_point now);
--- a/bamboostream/src/Membership/member_table.cpp
+++ b/bamboostream/src/Membership/member_table.cpp
@@ -43,7 +43,7 @@
 member_table::member_table(member_facts self, membership_timing timing, std::uint64_t seed)
     : self_(std::move(self)), timing_(timing), random_(seed) {}
 
-void member_table::learn_seeds(std::span<const std::string> addresses, time_point) {
+void member_table::set_seeds(std::span<const std::string> addresses, time_point) {
     seeds_.clear();
     for (const std::string& address : addresses) {
         if (address != self_.id.address) {
--- a/bamboostream/src/Membership/member_table.h
+++ b/bamboostream/src/Membership/member_table.h
@@ -92,7 +92,7 @@
 
     /// Addresses from the platform's list. The list lags, so an address is only a place to probe;
     /// a member appears once it has answered.
-    void learn_seeds(std::span<const std::string> addresses, time_point now);
+    void set_seeds(std::span<const std::string> addresses, time_point now);
     /// Members to probe now. Call once a probe period.
     std::vector<std::string> choose_probes(time_point now);
     /// Members through which `target` should be probed when it did not answer.
--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -307,7 +307,7 @@
         double frames = 0;
         const auto round = [&](int i) {
             member_table& own = *tables[static_cast<std::size_t>(i)];
-            own.learn_seeds(seeds, now);
+            own.set_seeds(seeds, now);
             for (const std::string& peer : own.choose_probes(now)) {
                 const auto at = static_cast<std::size_t>(
                     std::find(seeds.begin(), seeds.end(), peer) - seeds.begin());
--- a/test/membership_test.cpp
+++ b/test/membership_test.cpp
@@ -50,7 +50,7 @@
             if (dead_.contains(name)) {
                 continue;
             }
-            table->learn_seeds(seeds, now_);
+            table->set_seeds(seeds, now_);
             for (const std::string& peer : table->choose_probes(now_)) {
                 probe(*table, name, peer);
             }
@@ -141,7 +141,7 @@
         instance& fresh = instances_[name];
         fresh.table = std::make_unique<member_table>(self, membership_timing{},
                                                      static_cast<std::uint64_t>(last_stamp_));
-        fresh.table->learn_seeds(seeds_, now_);
+        fresh.table->set_seeds(seeds_, now_);
         fresh.next = now_ + milliseconds(random_() % 300);
     }
     void run_for(duration time) {
@@ -367,7 +367,7 @@
 // After the server itself has said that it leaves, only a later life of it brings it back.
 TEST_P(backend_table_test, after_own_word_of_leaving) {
     backend_table table;
-    table.learn_list({listed(backend_state::live)}, {});
+    table.update_from_list({listed(backend_state::live)}, {});
     table.observe("b", 5, backend_state::leaving, {});
     GetParam().apply(table);
     EXPECT_EQ(table.find("b")->state, GetParam().expected);
@@ -376,9 +376,10 @@
 INSTANTIATE_TEST_SUITE_P(
     steps, backend_table_test,
     testing::Values(
-        backend_step{"stale_list_says_live",
-                     [](backend_table& t) { t.learn_list({listed(backend_state::live)}, {}); },
-                     backend_state::leaving},
+        backend_step{
+            "stale_list_says_live",
+            [](backend_table& t) { t.update_from_list({listed(backend_state::live)}, {}); },
+            backend_state::leaving},
         backend_step{"late_answer_says_live",
                      [](backend_table& t) { t.observe("b", 5, backend_state::live, {}); },
                      backend_state::leaving},
@@ -393,7 +394,7 @@
 // An engine that loaded a model takes work again afterwards: loading is no leaving.
 TEST(backend_table_loading_test, comes_back_when_done) {
     backend_table table;
-    table.learn_list({listed(backend_state::live)}, {});
+    table.update_from_list({listed(backend_state::live)}, {});
     table.observe("b", 5, backend_state::loading, {});
     EXPECT_FALSE(table.may_get_work("b"));
     table.observe("b", 5, backend_state::live, {});
--- a/test/platform/admission_load_test.cpp
+++ b/test/platform/admission_load_test.cpp
@@ -60,7 +60,7 @@
           state_(codec_, failure_domain_id("norra"), {}, seed) {
         for (int i = 0; i < engine_count; ++i) {
             const registered_backend engine = backend(fmt::format("i-{}", i));
-            state_.registry.learn(engine, now_);
+            state_.registry.update(engine, now_);
             models_.emplace(engine.id, std::make_unique<engine_model>(test::modelled_engine()));
         }
     }
--- a/test/platform/admission_test.cpp
+++ b/test/platform/admission_test.cpp
@@ -65,8 +65,8 @@
 TEST(engine_choice_test, one_that_admits_goes_before_a_better_one_that_does_not) {
     const platform::request_translation codec;
     forwarding_state state(codec, failure_domain_id("norra"), {}, 1);
-    state.registry.learn(backend("full"), start);
-    state.registry.learn(backend("queued"), start);
+    state.registry.update(backend("full"), start);
+    state.registry.update(backend("queued"), start);
     state.loads.add(backend_id("full"), {5, 18'000, 0});
     state.loads.add(backend_id("queued"), {2, 9'000, 6'000});
     engine_request request;
--- a/test/platform/cordon_test.cpp
+++ b/test/platform/cordon_test.cpp
@@ -160,13 +160,13 @@
 // The same server is usable again once its failure domain is back, whatever was learned meanwhile.
 TEST(cordoned_registry, servers_take_no_work_until_their_domain_is_back) {
     backend_registry registry;
-    registry.learn(backend("a", "norra"), start);
-    registry.learn(backend("b", "verket"), start);
+    registry.update(backend("a", "norra"), start);
+    registry.update(backend("b", "verket"), start);
     const auto usable = [&] { return registry.usable(service_id("s")).size(); };
     registry.set_cordoned({failure_domain_id("norra"), failure_domain_id("unknown")});
     EXPECT_EQ(usable(), 1u);
     EXPECT_FALSE(registry.takes_work(backend_id("a")));
-    registry.learn(backend("c", "norra"), start);
+    registry.update(backend("c", "norra"), start);
     EXPECT_FALSE(registry.takes_work(backend_id("c")));
     registry.set_cordoned({});
     EXPECT_EQ(usable(), 3u);
--- a/test/platform/evacuation_test.cpp
+++ b/test/platform/evacuation_test.cpp
@@ -106,7 +106,7 @@
             b.address = fmt::format("10.0.0.{}:80", i);
             b.service = service_id("engines");
             b.failure_domain = failure_domain_id("norra");
-            state_.registry.learn(b, monotonic_now());
+            state_.registry.update(b, monotonic_now());
         }
     }
 
@@ -204,7 +204,7 @@
     mover_.not_copied_ = true;
     registered_backend away = *state_.registry.find(backend_id("i-5"));
     away.failure_domain = failure_domain_id("verket");
-    state_.registry.learn(away, monotonic_now());
+    state_.registry.update(away, monotonic_now());
     state_.registry.set_cordoned({failure_domain_id("norra")});
     leave("i-1");
     run_for(milliseconds(60));
--- a/test/platform/forwarding_fixture.cpp
+++ b/test/platform/forwarding_fixture.cpp
@@ -148,7 +148,7 @@
     entry.service = service_id(service);
     entry.failure_domain = failure_domain_id("norra");
     entry.slots = 6;
-    state_->registry.learn(entry, monotonic_now());
+    state_->registry.update(entry, monotonic_now());
     return *backends_.back();
 }
 
@@ -156,7 +156,7 @@
     registered_backend entry = *state_->registry.find(backend_id(id));
     entry.started_ms = started_ms;
     entry.address = backends_.back()->address();
-    state_->registry.learn(entry, monotonic_now());
+    state_->registry.update(entry, monotonic_now());
 }
 
 void forwarding_fixture::add_dead(const std::string& id) {
--- a/test/platform/pool_owner_test.cpp
+++ b/test/platform/pool_owner_test.cpp
@@ -34,7 +34,7 @@
         for (const auto& it : group_.all) {
             it->forwarding.routes = one_service();
             for (int i = 0; i < engine_count; ++i) {
-                it->forwarding.registry.learn(backend(fmt::format("i-{}", i)), monotonic_now());
+                it->forwarding.registry.update(backend(fmt::format("i-{}", i)), monotonic_now());
             }
         }
     }
@@ -166,7 +166,7 @@
             for (int i = 0; i < engines; ++i) {
                 registered_backend cold = backend(fmt::format("i-{}", i));
                 cold.slow_until = monotonic_now() + seconds(60);
-                it->forwarding.registry.learn(cold, monotonic_now());
+                it->forwarding.registry.update(cold, monotonic_now());
             }
         }
     }
--- a/test/platform/routing_decisions_test.cpp
+++ b/test/platform/routing_decisions_test.cpp
@@ -69,14 +69,14 @@
 TEST(backend_registry_test, leaving_is_sticky) {
     backend_registry registry;
     registered_backend b = backend("i-1");
-    registry.learn(b, start);
+    registry.update(b, start);
     b.leaving = true;
-    registry.learn(b, start);
+    registry.update(b, start);
     b.leaving = false;
-    registry.learn(b, start);
+    registry.update(b, start);
     EXPECT_TRUE(registry.usable(service_id("s")).empty());
     registry.remove(b.id, start);
-    registry.learn(b, start);
+    registry.update(b, start);
     EXPECT_TRUE(registry.usable(service_id("s")).empty());
 }
 
@@ -124,7 +124,7 @@
 TEST_P(second_start, is_another_life) {
     backend_registry registry;
     for (const registered_backend& entry : GetParam().heard) {
-        registry.learn(entry, start);
+        registry.update(entry, start);
     }
     EXPECT_EQ(!registry.usable(service_id("s")).empty(), GetParam().usable);
 }
@@ -132,9 +132,9 @@
 // Whoever keeps something by the id of an engine is told that it began anew.
 TEST(backend_registry_test, a_second_start_is_told) {
     backend_registry registry;
-    registry.learn(started_at(1'000, true), start);
+    registry.update(started_at(1'000, true), start);
     registry.take_changes();
-    registry.learn(started_at(2'000, false), start);
+    registry.update(started_at(2'000, false), start);
     const auto changes = registry.take_changes();
     ASSERT_EQ(changes.size(), 1u);
     EXPECT_EQ(changes.front().event, registry_event::restarted);
@@ -183,7 +183,7 @@
 TEST_P(entry_removal, waits_only_around_an_outage) {
     const removal_row row = GetParam();
     backend_registry registry;
-    registry.learn(backend("i-1"), start - seconds(60));
+    registry.update(backend("i-1"), start - seconds(60));
     const auto at = [](int ms) { return start + milliseconds(ms); };
     const auto step = [&](int ms) {
         if (ms == row.removed_at_ms) {
@@ -205,7 +205,7 @@
         step(ms);
     }
     if (row.back_in_time) {
-        registry.learn(backend("i-1"), at(11'500));
+        registry.update(backend("i-1"), at(11'500));
     }
     registry.expire(at(row.asked_at_ms));
     EXPECT_EQ(!registry.usable(service_id("s")).empty(), row.usable);
--- a/test/platform/store_view_test.cpp
+++ b/test/platform/store_view_test.cpp
@@ -214,7 +214,7 @@
         const auto round = static_cast<std::size_t>((now - start) / question_period);
         const reader& peer = readers_[(i + 1 + round) % readers_.size()];
         if (peer.learned) {
-            learn(i, now + milliseconds(2));
+            update(i, now + milliseconds(2));
         }
         r.known_until = std::max(r.known_until, peer.known_until);
     }
@@ -229,7 +229,7 @@
             if (now >= answered) {
                 r.follows = true;
                 finish(i, now, pause_between_reads);
-                learn(i, now);
+                update(i, now);
                 r.known_until = now;
                 tell(i, now);
             }
@@ -246,7 +246,7 @@
         readers_[i].next = now + pause;
     }
 
-    void learn(std::size_t i, time_point now) {
+    void update(std::size_t i, time_point now) {
         if (now >= word_ && !readers_[i].learned) {
             readers_[i].learned = now;
         }
@@ -260,7 +260,7 @@
             readers_[other].duty.hear(names_[i], topic_, now);
             readers_[other].known_until = now;
             if (readers_[i].learned) {
-                learn(other, now + milliseconds(2));
+                update(other, now + milliseconds(2));
             }
         }
     }
@@ -348,7 +348,7 @@
         : forwarding_(requests_, failure_domain_id("z"), {}, 1), state_(forwarding_, records_) {
         state_.entries().caught_up(10);
         for (const char* id : {"a", "b"}) {
-            forwarding_.registry.learn(backend(id), start);
+            forwarding_.registry.update(backend(id), start);
         }
         state_.report_changes(fact_source::store, start);
     }
@@ -408,7 +408,7 @@
 // that have lapsed meanwhile among it; it waits for these as the others do.
 TEST(peer_list_test, an_instance_that_knows_nothing_takes_lapsed_entries) {
     backend_registry registry;
-    registry.learn_from_peer(std::vector{peer_backend{backend("a"), true}}, start);
+    registry.update_from_peer(std::vector{peer_backend{backend("a"), true}}, start);
     EXPECT_EQ(registry.usable(service_id("s")).size(), 1u);
     EXPECT_TRUE(registry.has_lapsed(backend_id("a")));
     registry.expire(start + backend_registry::return_grace);
