--- a/bamboostream/src/Gateway/deployment_state.cpp
+++ b/bamboostream/src/Gateway/deployment_state.cpp
@@ -247,7 +247,7 @@
     if (!view.ever_known()) {
         return;
     }
-    if (view.age(now) > backend_registry::least_outage) {
+    if (view.age(now) > backend_registry::min_outage) {
         forwarding_.registry.store_failed(now);
     } else {
         forwarding_.registry.store_answered(now);
--- a/bamboostream/src/Membership/backend_registry.h
+++ b/bamboostream/src/Membership/backend_registry.h
@@ -61,7 +61,7 @@
     /// though the store is well. An instance that took its own outage for the store's put the
     /// removal of a server off, and requests reached it 3.1 s after it had gone. Not longer: an
     /// entry lapses after three of its heartbeats, each of 1.2 s, have failed.
-    static constexpr milliseconds least_outage{1'000};
+    static constexpr milliseconds min_outage{1'000};
 
     /// An entry from the store.
     void update(const registered_backend& backend, time_point now);
--- a/tools/prove.sh
+++ b/tools/prove.sh
@@ -88,7 +88,7 @@
 prove short_waits $s/Gateway/store_duty.cpp 'times.longest_view, now) ? relaxed_wait : times.wait;' 'times.longest_view, now) ? relaxed_wait : relaxed_wait;' 'only_one_proves|leaving_view|readers_turned_away'
 prove older_list $s/Gateway/deployment_state.cpp '(position > entries_.position() || knows_nothing)' 'true' 'peer_list'
 prove lapsed_is_not_listed $s/Membership/backend_registry.cpp 'if (!entry.lapsed) {' 'if (true) {' 'peer_list'
-prove own_outage $s/Membership/backend_registry.h 'least_outage{1' 'least_outage{0' 'outage|an_outage_of_one_reader'
+prove own_outage $s/Membership/backend_registry.h 'min_outage{1' 'min_outage{0' 'outage|an_outage_of_one_reader'
 prove overtaken_list $s/Gateway/store_follower.cpp 'if (page.next < known && (!all || known_before <= page.next)) {' 'if (false) {' 'store_follower_test'
 prove overtaken_page $s/Gateway/store_follower.cpp 'if (!all) {' 'if (false) {' 'store_follower_test'
 prove target_leaves $s/Evacuation/evacuation_service.cpp 'if (!state_.registry.takes_work(target.id)) {
