--- a/bamboostream/src/Control/membership_service.h
+++ b/bamboostream/src/Control/membership_service.h
@@ -37,7 +37,7 @@
         /// Up to so many others are told directly of what an instance has read for all; with more,
         /// relays pass it on. At 62 instances a reader sends some 300 frames a second, within what
         /// the smallest machines carry, and nobody depends on a relay.
-        std::size_t most_told_directly = 96;
+        std::size_t max_direct_recipients = 96;
     };
     /// Called with each status of an engine.
     using status_listener = std::function<void(const backend_facts&, const engine_status&)>;
@@ -53,7 +53,7 @@
         backend_listener_ = std::move(listener);
     }
     /// Whether this instance watches the engines of a pool; asked each watch period.
-    void watch_pools_if(std::function<bool(std::string_view)> rule) {
+    void set_watch_filter(std::function<bool(std::string_view)> rule) {
         watches_pool_ = std::move(rule);
     }
     boost::asio::awaitable<std::unique_ptr<wire::FrameT>> handle_probe(const wire::ProbeT& probe,
@@ -75,7 +75,7 @@
     /// The other usable instances of one failure domain.
     std::vector<std::string> usable_peers_in(std::string_view failure_domain) const;
     /// Whether there are more than are told directly of what changes.
-    bool has_many_peers() const { return usable_peers().size() > times_.most_told_directly; }
+    bool needs_relays() const { return usable_peers().size() > times_.max_direct_recipients; }
     const failure_domain_id& own_failure_domain() const { return members_.self().failure_domain; }
     /// Addresses of the other instances that are live and don't leave; valid until these change.
     const std::vector<std::string>& usable_peers() const;
--- a/bamboostream/src/Control/scheduling_service.cpp
+++ b/bamboostream/src/Control/scheduling_service.cpp
@@ -42,7 +42,7 @@
       seed_(seed) {}
 
 void scheduling_service::start() {
-    membership_.watch_pools_if([this](std::string_view pool) {
+    membership_.set_watch_filter([this](std::string_view pool) {
         const auto known = pools_.find(pool);
         const bool used = known != pools_.end() && monotonic_now() < known->second.used_until;
         const auto owners = membership_.owners(pool_role(pool), schedulers_a_pool);
--- a/bamboostream/src/Gateway/store_news.cpp
+++ b/bamboostream/src/Gateway/store_news.cpp
@@ -171,7 +171,7 @@
 }
 
 void store_news::send_to_all(wire::StoreNewsT news) {
-    if (!membership_.has_many_peers()) {
+    if (!membership_.needs_relays()) {
         links_.send_to_each(membership_.usable_peers(), make_frame(std::move(news)));
         return;
     }
--- a/test/platform/peer_group.cpp
+++ b/test/platform/peer_group.cpp
@@ -84,7 +84,7 @@
     self.failure_domain = failure_domain_id(failure_domain);
     links.set_identity(self.id);
     membership_service::timing times;
-    times.most_told_directly = 1;
+    times.max_direct_recipients = 1;
     membership = std::make_unique<membership_service>(
         context, links, std::make_unique<fixed_seeds>(std::move(seeds)), self, times,
         stable_hash(self.id.address));
