--- a/bamboostream/src/Control/frames.cpp
+++ b/bamboostream/src/Control/frames.cpp
@@ -59,7 +59,7 @@
     return out;
 }
 
-std::uint32_t age_on_wire(duration age) {
+std::uint32_t age_to_wire(duration age) {
     constexpr milliseconds longest{std::numeric_limits<std::uint32_t>::max()};
     return static_cast<std::uint32_t>(to_milliseconds(std::min(age, duration(longest))));
 }
@@ -68,7 +68,7 @@
     wire::HarmReportT report;
     for (const harm_evidence& it : evidence) {
         report.entries.emplace_back(it.request.high, it.request.low, it.server, it.caller,
-                                    age_on_wire(now - it.at), it.answering, it.cleared);
+                                    age_to_wire(now - it.at), it.answering, it.cleared);
     }
     return report;
 }
--- a/bamboostream/src/Control/frames.h
+++ b/bamboostream/src/Control/frames.h
@@ -34,7 +34,7 @@
 
 /// Ages go as milliseconds, since clocks of instances aren't compared; the longest that a frame can
 /// say stands for what was never known.
-std::uint32_t age_on_wire(duration age);
+std::uint32_t age_to_wire(duration age);
 
 /// Evidence against requests that end backend servers.
 wire::HarmReportT to_wire(std::span<const harm_evidence> evidence, time_point now);
--- a/bamboostream/src/Gateway/peer_frames.cpp
+++ b/bamboostream/src/Gateway/peer_frames.cpp
@@ -41,11 +41,11 @@
     return out;
 }
 
-std::optional<time_point> moment_of(std::uint32_t age_on_wire, time_point now) {
-    if (age_on_wire == std::numeric_limits<std::uint32_t>::max()) {
+std::optional<time_point> moment_of(std::uint32_t age_to_wire, time_point now) {
+    if (age_to_wire == std::numeric_limits<std::uint32_t>::max()) {
         return std::nullopt;
     }
-    return now - milliseconds(age_on_wire);
+    return now - milliseconds(age_to_wire);
 }
 
 std::vector<std::string> to_wire(const std::set<failure_domain_id>& domains) {
@@ -110,7 +110,7 @@
     out.priority = static_cast<std::uint8_t>(std::clamp(request.priority, 0, 255));
     out.prompt_tokens = tokens_on_wire(request.work.unread_tokens);
     out.max_tokens = tokens_on_wire(request.work.memory_tokens - request.work.unread_tokens);
-    out.objective_ms = age_on_wire(request.objective);
+    out.objective_ms = age_to_wire(request.objective);
     out.failure_domain = request.near.text();
     for (const backend_id& id : request.avoid) {
         out.avoid.push_back(id.text());
@@ -141,7 +141,7 @@
     out.requests = tokens_on_wire(choice.work.requests);
     out.memory_tokens = tokens_on_wire(choice.work.memory_tokens);
     out.unread_tokens = tokens_on_wire(choice.work.unread_tokens);
-    out.overload_ms = age_on_wire(choice.overload);
+    out.overload_ms = age_to_wire(choice.overload);
     return out;
 }
 
--- a/bamboostream/src/Gateway/peer_frames.h
+++ b/bamboostream/src/Gateway/peer_frames.h
@@ -26,7 +26,7 @@
 registered_backend from_wire(const wire::BackendFactT& fact, time_point now);
 /// The moment of which a frame that is heard now tells; nothing when it tells of none. Taken as a
 /// moment long ago it would look like an outage of the store.
-std::optional<time_point> moment_of(std::uint32_t age_on_wire, time_point now);
+std::optional<time_point> moment_of(std::uint32_t age_to_wire, time_point now);
 
 /// Cordons go with the position up to which they hold; zero for an instance that doesn't know any.
 std::vector<std::string> to_wire(const std::set<failure_domain_id>& domains);
--- a/bamboostream/src/Gateway/store_news.cpp
+++ b/bamboostream/src/Gateway/store_news.cpp
@@ -45,7 +45,7 @@
 /// A telling that left later than it says is that much older.
 std::uint32_t older(std::uint32_t age_ms, milliseconds by) {
     constexpr std::uint32_t unknown = std::numeric_limits<std::uint32_t>::max();
-    return age_ms == unknown ? unknown : age_on_wire(milliseconds(age_ms) + by);
+    return age_ms == unknown ? unknown : age_to_wire(milliseconds(age_ms) + by);
 }
 
 } // namespace
@@ -149,8 +149,8 @@
     news.configuration_version = state_.version();
     news.previous = static_cast<std::uint64_t>(previous);
     news.sequence = static_cast<std::uint64_t>(told_position_);
-    news.entries_age_ms = age_on_wire(store_.own_age(record_topic::backend_entries, now));
-    news.documents_age_ms = age_on_wire(store_.own_age(record_topic::operator_documents, now));
+    news.entries_age_ms = age_to_wire(store_.own_age(record_topic::backend_entries, now));
+    news.documents_age_ms = age_to_wire(store_.own_age(record_topic::operator_documents, now));
     if (changes.size() > most_changes_told) {
         // Says that there is more than it tells: whoever knows less asks for the list, by pages.
         news.previous = news.sequence;
@@ -233,7 +233,7 @@
     if (stale != (age > times_of(topic).read_by_all)) {
         stale = !stale;
         log_event(stale ? events::view_stale : events::view_fresh, "topic={} age_ms={}",
-                  entries ? "backend_entries" : "operator_documents", age_on_wire(age));
+                  entries ? "backend_entries" : "operator_documents", age_to_wire(age));
     }
 }
 
@@ -443,10 +443,10 @@
     wire::BackendListT list;
     const time_point now = monotonic_now();
     list.fresh = !is_stale(record_topic::backend_entries, now);
-    list.age_ms = age_on_wire(forwarding_.entries_view.age(now));
+    list.age_ms = age_to_wire(forwarding_.entries_view.age(now));
     list.sequence = static_cast<std::uint64_t>(state_.entries().position());
     list.documents_sequence = static_cast<std::uint64_t>(state_.cordons().position);
-    list.documents_age_ms = age_on_wire(forwarding_.documents_view.age(now));
+    list.documents_age_ms = age_to_wire(forwarding_.documents_view.age(now));
     list.configuration_version = state_.version();
     list.cordoned = to_wire(state_.cordons().domains);
     if (request.documents_only) {
--- a/test/platform/store_view_test.cpp
+++ b/test/platform/store_view_test.cpp
@@ -457,8 +457,8 @@
 // every start.
 TEST(peer_frames_test, an_age_that_was_never_known_names_no_moment) {
     const view_age never;
-    EXPECT_EQ(moment_of(age_on_wire(never.age(start)), start), std::nullopt);
-    EXPECT_EQ(moment_of(age_on_wire(milliseconds(250)), start), start - milliseconds(250));
+    EXPECT_EQ(moment_of(age_to_wire(never.age(start)), start), std::nullopt);
+    EXPECT_EQ(moment_of(age_to_wire(milliseconds(250)), start), start - milliseconds(250));
 }
 
 // --- how far the entries are known
