--- a/bamboostream/src/Client/caller.cpp
+++ b/bamboostream/src/Client/caller.cpp
@@ -1,7 +1,7 @@
 #include "bamboostream/src/Client/caller.h"
 
 #include "bamboostream/src/Contracts/json_reader.h"
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Http/server_sent_events.h"
 
 #include <algorithm>
--- a/bamboostream/src/Control/quarantine_exchange.cpp
+++ b/bamboostream/src/Control/quarantine_exchange.cpp
@@ -1,7 +1,7 @@
 #include "bamboostream/src/Control/quarantine_exchange.h"
 
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Control/frames.h"
-#include "bamboostream/src/Control/periodic.h"
 #include "bamboostream/src/Core/digest.h"
 
 #include <boost/asio/co_spawn.hpp>
--- a/bamboostream/src/Control/quarantine_service.cpp
+++ b/bamboostream/src/Control/quarantine_service.cpp
@@ -1,7 +1,7 @@
 #include "bamboostream/src/Control/quarantine_service.h"
 
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Control/frames.h"
-#include "bamboostream/src/Control/periodic.h"
 #include "bamboostream/src/Core/digest.h"
 #include "bamboostream/src/Core/event_log.h"
 
--- a/bamboostream/src/Control/scheduling_service.cpp
+++ b/bamboostream/src/Control/scheduling_service.cpp
@@ -1,7 +1,7 @@
 #include "bamboostream/src/Control/scheduling_service.h"
 
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Control/frames.h"
-#include "bamboostream/src/Control/periodic.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
--- a/bamboostream/src/Entry/completion_handler.cpp
+++ b/bamboostream/src/Entry/completion_handler.cpp
@@ -1,6 +1,6 @@
 #include "bamboostream/src/Entry/completion_handler.h"
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Core/event_log.h"
 #include "bamboostream/src/Entry/authentication.h"
 
--- a/bamboostream/src/Entry/service_handler.cpp
+++ b/bamboostream/src/Entry/service_handler.cpp
@@ -1,6 +1,6 @@
 #include "bamboostream/src/Entry/service_handler.h"
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Entry/authentication.h"
 
 namespace bamboostream {
--- a/bamboostream/src/Entry/sse_writer.cpp
+++ b/bamboostream/src/Entry/sse_writer.cpp
@@ -1,6 +1,6 @@
 #include "bamboostream/src/Entry/sse_writer.h"
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
--- a/bamboostream/src/Evacuation/evacuation_service.cpp
+++ b/bamboostream/src/Evacuation/evacuation_service.cpp
@@ -1,6 +1,6 @@
 #include "bamboostream/src/Evacuation/evacuation_service.h"
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Core/event_log.h"
 
 #include <boost/asio/co_spawn.hpp>
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Core/digest.h"
 #include "bamboostream/src/Core/event_log.h"
 #include "bamboostream/src/Forwarding/forwarded_call.h"
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -1,6 +1,6 @@
 #include "bamboostream/src/Forwarding/forwarded_call.h"
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Core/event_log.h"
 #include "bamboostream/src/Forwarding/request_identity.h"
 
--- a/bamboostream/src/Gateway/configuration_spread.cpp
+++ b/bamboostream/src/Gateway/configuration_spread.cpp
@@ -1,7 +1,7 @@
 #include "bamboostream/src/Gateway/configuration_spread.h"
 
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Control/frames.h"
-#include "bamboostream/src/Control/periodic.h"
 #include "bamboostream/src/Core/event_log.h"
 #include "bamboostream/src/Gateway/document_frames.h"
 
--- a/bamboostream/src/Gateway/quarantine_keeper.cpp
+++ b/bamboostream/src/Gateway/quarantine_keeper.cpp
@@ -1,7 +1,7 @@
 #include "bamboostream/src/Gateway/quarantine_keeper.h"
 
 #include "bamboostream/src/Contracts/json_reader.h"
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Core/event_log.h"
 #include "bamboostream/src/Gateway/store_duty.h"
 
--- a/bamboostream/src/Gateway/store_follower.cpp
+++ b/bamboostream/src/Gateway/store_follower.cpp
@@ -1,6 +1,6 @@
 #include "bamboostream/src/Gateway/store_follower.h"
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Core/event_log.h"
 
 #include <algorithm>
--- a/test/platform/configuration_spread_test.cpp
+++ b/test/platform/configuration_spread_test.cpp
@@ -1,6 +1,6 @@
 // A configuration that takes long on small machines' links reaches every instance, over real links.
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "test/platform/peer_group.h"
 
 #include <boost/asio/co_spawn.hpp>
--- a/test/platform/evacuation_test.cpp
+++ b/test/platform/evacuation_test.cpp
@@ -1,7 +1,7 @@
 // Evacuation against a scripted mover, without a network.
 
 #include "bamboostream/Evacuation"
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "platform/request_translation.h"
 
 #include <fmt/format.h>
--- a/test/platform/narrow_link.cpp
+++ b/test/platform/narrow_link.cpp
@@ -1,6 +1,6 @@
 #include "test/platform/narrow_link.h"
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Http/address.h"
 
 #include <algorithm>
--- a/test/platform/peer_group.cpp
+++ b/test/platform/peer_group.cpp
@@ -1,6 +1,6 @@
 #include "test/platform/peer_group.h"
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/test/platform/standin_store.cpp
+++ b/test/platform/standin_store.cpp
@@ -1,6 +1,6 @@
 #include "test/platform/standin_store.h"
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 
 #include <array>
 #include <boost/beast/core/detail/base64.hpp>
--- a/test/platform/store_client_test.cpp
+++ b/test/platform/store_client_test.cpp
@@ -1,6 +1,6 @@
 // The client of the platform's store over a link on which an answer takes long.
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "platform/store_client.h"
 #include "test/platform/narrow_link.h"
 #include "test/platform/standin_store.h"
--- a/test/platform/store_follower_test.cpp
+++ b/test/platform/store_follower_test.cpp
@@ -1,7 +1,7 @@
 // What an instance that reads the store does with answers that others' tellings have overtaken.
 
 #include "bamboostream/Gateway"
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "platform/record_translation.h"
 #include "platform/request_translation.h"
 
--- a/test/platform/system/explanation_test.cpp
+++ b/test/platform/system/explanation_test.cpp
@@ -1,7 +1,7 @@
 // From a failed request's id to its cause, with the logs of real gateway processes.
 
 #include "bamboostream/Report"
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "test/platform/system/gateway_fixture.h"
 
 namespace bamboostream::test {
--- a/test/platform/system/soak_test.cpp
+++ b/test/platform/system/soak_test.cpp
@@ -2,7 +2,7 @@
 // stop. Which seeds run, and for how long: SOAK_SEEDS (for instance "1-50" or "7") and
 // SOAK_SECONDS; without them one short seeded run.
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "test/platform/soak_audit.h"
 #include "test/platform/soak_plan.h"
 #include "test/platform/system/gateway_fixture.h"
