--- a/bamboostream/src/Configuration/configuration_state.cpp
+++ b/bamboostream/src/Configuration/configuration_state.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr std::size_t most_skipped = 5'000;
-constexpr std::size_t remembered_ids = 2'000;
-constexpr std::size_t remembered_history = 200;
-constexpr std::size_t remembered_removals = 20'000;
+constexpr std::size_t max_skipped_records = 5'000;
+constexpr std::size_t max_accepted_ids = 2'000;
+constexpr std::size_t max_history_entries = 200;
+constexpr std::size_t max_removed_entries = 20'000;
 
 struct entry_name {
     std::string section;
@@ -52,7 +52,7 @@
     if (first_offset > next_offset_) {
         next_offset_ = first_offset;
         readable_from_ = first_offset;
-        whole_ = false;
+        is_complete_ = false;
         skipped_.clear();
     }
 }
@@ -75,9 +75,9 @@
     if (kind != "submission") {
         return std::nullopt;
     }
-    if (!whole_) {
+    if (!is_complete_) {
         skipped_.push_back(record);
-        if (skipped_.size() > most_skipped) {
+        if (skipped_.size() > max_skipped_records) {
             readable_from_ = skipped_.front().offset + 1;
             skipped_.pop_front();
         }
@@ -99,9 +99,9 @@
         }
         return verdict;
     }
-    if (!whole_) {
-        // Records behind this one are missing: whether it conflicts can't be known here. A peer or
-        // the next snapshot settles it; guessing could put two versions into force.
+    if (!is_complete_) {
+        // Earlier records are missing, so conflicts can't be detected here. A peer's state or the
+        // next snapshot decides; a guess could put two versions into force.
         return verdict;
     }
     if (std::find(accepted_ids_.begin(), accepted_ids_.end(), submission->id) !=
@@ -150,16 +150,16 @@
     document_ = std::make_shared<configuration_document>(std::move(*document));
     version_ = offset + 1;
     accepted_ids_.push_back(submission->id);
-    if (accepted_ids_.size() > remembered_ids) {
+    if (accepted_ids_.size() > max_accepted_ids) {
         accepted_ids_.pop_front();
     }
-    while (removed_.size() > remembered_removals) {
+    while (removed_.size() > max_removed_entries) {
         removed_.erase(
             std::min_element(removed_.begin(), removed_.end(),
                              [](const auto& a, const auto& b) { return a.second < b.second; }));
     }
     history_.push_back(std::move(accepted));
-    if (history_.size() > remembered_history) {
+    if (history_.size() > max_history_entries) {
         history_.pop_front();
     }
     verdict.outcome = submission_outcome::accepted;
@@ -169,11 +169,11 @@
 
 void configuration_state::apply_snapshot(const json::value& record) {
     const json::value* state = record.get_object().if_contains("state");
-    if (whole_ || state == nullptr || number_at(record, "as_of") < readable_from_) {
+    if (is_complete_ || state == nullptr || number_at(record, "as_of") < readable_from_) {
         return;
     }
-    // The snapshot holds everything before "as of"; what was read since, but could not be judged
-    // without it, is judged now.
+    // The snapshot contains all records before "as_of". Submissions read since then, which could
+    // not be decided without it, are decided now.
     if (!apply_state(*state)) {
         return;
     }
@@ -215,7 +215,7 @@
     document_ = std::make_shared<configuration_document>(std::move(*document));
     version_ = version;
     next_offset_ = std::max(next_offset_, as_of);
-    whole_ = true;
+    is_complete_ = true;
     removed_.clear();
     accepted_ids_.clear();
     const json::object& object = state.get_object();
@@ -241,10 +241,10 @@
     }
     const std::int64_t version = number_at(*state, "version", -1);
     const std::int64_t next = number_at(*state, "next_offset", -1);
-    // A peer that has read less of the log than this instance may lack a newer version; one that
-    // has read more can only be newer or equal.
+    // A peer that has read less of the log may lack a newer version; one that has read more has the
+    // same version or a newer one.
     const bool newer = next > next_offset_ && version >= version_;
-    const bool fills_hole = !whole_ && next >= next_offset_ && version >= version_;
+    const bool fills_hole = !is_complete_ && next >= next_offset_ && version >= version_;
     return (newer || fills_hole) && apply_state(*state);
 }
 
@@ -296,7 +296,7 @@
         return found != nullptr && found->is_object() ? found->get_object() : none;
     };
     for (const std::string_view section : document_sections) {
-        // Documents in version control don't hold cordons; submitting one must not end them.
+        // Documents in version control contain no cordons; submitting one must not remove them.
         if (section == cordons_section && !(to.is_object() && to.get_object().contains(section))) {
             continue;
         }
--- a/bamboostream/src/Configuration/document.cpp
+++ b/bamboostream/src/Configuration/document.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 constexpr std::array<std::string_view, 3> priority_names = {"batch", "standard", "urgent"};
-constexpr std::size_t longest_name = 64;
-constexpr std::size_t shortest_secret = 16;
-constexpr std::int64_t most_count = 10'000'000;
-constexpr std::int64_t longest_time_ms = 3'600'000;
+constexpr std::size_t max_name_length = 64;
+constexpr std::size_t min_secret_length = 16;
+constexpr std::int64_t max_count = 10'000'000;
+constexpr std::int64_t max_time_ms = 3'600'000;
 
-using mistakes_t = std::vector<json_mistake>;
+using mistake_list = std::vector<json_mistake>;
 
 bool is_name(std::string_view name) {
-    return !name.empty() && name.size() <= longest_name &&
+    return !name.empty() && name.size() <= max_name_length &&
            std::all_of(name.begin(), name.end(), [](unsigned char c) {
                return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
            });
@@ -29,7 +29,7 @@
            text.find_first_not_of("0123456789abcdef") == std::string_view::npos;
 }
 
-service_objectives read_objectives(json_reader& parent, mistakes_t& mistakes) {
+service_objectives read_objectives(json_reader& parent, mistake_list& mistakes) {
     service_objectives out;
     const boost::json::value* value = parent.child("objectives");
     if (value == nullptr) {
@@ -45,12 +45,12 @@
 }
 
 workspace_settings read_workspace(const boost::json::value& value, const std::string& path,
-                                  mistakes_t& mistakes) {
+                                  mistake_list& mistakes) {
     workspace_settings out;
     json_reader r(value, path, mistakes);
     out.weight = r.real_or("weight", 1.0, 0.001, 1e6);
-    out.max_running = static_cast<std::uint32_t>(r.number_or("max_running", 10'000, 1, most_count));
-    out.max_waiting = static_cast<std::uint32_t>(r.number_or("max_waiting", 10'000, 0, most_count));
+    out.max_running = static_cast<std::uint32_t>(r.number_or("max_running", 10'000, 1, max_count));
+    out.max_waiting = static_cast<std::uint32_t>(r.number_or("max_waiting", 10'000, 0, max_count));
     const std::string priority = r.text_or("highest_priority", "urgent");
     const auto parsed = parse_priority(priority);
     if (!parsed) {
@@ -74,7 +74,7 @@
 }
 
 pool_settings read_pool(const boost::json::value& value, const std::string& path,
-                        mistakes_t& mistakes) {
+                        mistake_list& mistakes) {
     pool_settings out;
     json_reader r(value, path, mistakes);
     out.model = r.text("model");
@@ -95,15 +95,15 @@
         }
     }
     out.engines_check_fencing = r.flag_or("engines_check_fencing", true);
-    out.least_serving = static_cast<std::uint32_t>(r.number_or("least_serving", 1, 0, most_count));
-    out.default_wait = milliseconds(r.number_or("default_wait_ms", 30'000, 1, longest_time_ms));
+    out.least_serving = static_cast<std::uint32_t>(r.number_or("least_serving", 1, 0, max_count));
+    out.default_wait = milliseconds(r.number_or("default_wait_ms", 30'000, 1, max_time_ms));
     out.objectives = read_objectives(r, mistakes);
     r.finish();
     return out;
 }
 
 service_settings read_service(const boost::json::value& value, const std::string& path,
-                              mistakes_t& mistakes) {
+                              mistake_list& mistakes) {
     service_settings out;
     json_reader r(value, path, mistakes);
     const boost::json::object* operations = r.object_or_none("operations");
@@ -115,8 +115,7 @@
             json_reader o(item.value(), fmt::format("{}/operations/{}", path, name), mistakes);
             operation_settings operation;
             operation.idempotent = o.flag_or("idempotent", false);
-            operation.deadline =
-                milliseconds(o.number_or("deadline_ms", 10'000, 1, longest_time_ms));
+            operation.deadline = milliseconds(o.number_or("deadline_ms", 10'000, 1, max_time_ms));
             operation.max_body_bytes =
                 static_cast<std::size_t>(o.number_or("max_body_bytes", 65'536, 0, 1'048'576));
             o.finish();
@@ -131,12 +130,12 @@
 }
 
 resume_key_settings read_resume_key(const boost::json::value& value, const std::string& path,
-                                    mistakes_t& mistakes) {
+                                    mistake_list& mistakes) {
     resume_key_settings out;
     json_reader r(value, path, mistakes);
     out.secret = r.text("secret");
-    if (r.is_object() && !out.secret.empty() && out.secret.size() < shortest_secret) {
-        // The secret itself stays out of the message.
+    if (r.is_object() && !out.secret.empty() && out.secret.size() < min_secret_length) {
+        // Report the length only, so that the secret does not appear in the message.
         r.mistake("secret", fmt::format("{} characters", out.secret.size()),
                   "at least 16 characters");
     }
@@ -146,7 +145,7 @@
 }
 
 cordon_settings read_cordon(const boost::json::value& value, const std::string& path,
-                            mistakes_t& mistakes) {
+                            mistake_list& mistakes) {
     json_reader r(value, path, mistakes);
     cordon_settings out{r.text_or("reason", "")};
     r.finish();
@@ -154,7 +153,7 @@
 }
 
 template <class Settings, class Read>
-void read_section(json_reader& root, std::string_view section, mistakes_t& mistakes,
+void read_section(json_reader& root, std::string_view section, mistake_list& mistakes,
                   std::map<std::string, Settings, std::less<>>& into, Read read) {
     const boost::json::object* entries = root.object_or_none(section);
     if (entries == nullptr) {
@@ -169,8 +168,8 @@
     }
 }
 
-/// Rules over several entries.
-void check_together(const configuration_document& document, mistakes_t& mistakes) {
+/// Validates rules that involve several entries.
+void check_cross_entry_rules(const configuration_document& document, mistake_list& mistakes) {
     std::map<std::string, std::string> owner_of_digest;
     for (const auto& [name, workspace] : document.workspaces) {
         for (const workspace_key& key : workspace.keys) {
@@ -227,7 +226,7 @@
     read_section(root, "resume_keys", mistakes, out.resume_keys, read_resume_key);
     read_section(root, "cordons", mistakes, out.cordons, read_cordon);
     root.finish();
-    check_together(out, mistakes);
+    check_cross_entry_rules(out, mistakes);
     if (mistakes.size() > before) {
         return std::nullopt;
     }
--- a/bamboostream/src/Configuration/document_encoding.cpp
+++ b/bamboostream/src/Configuration/document_encoding.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// The fastest that still finds the far matches of a change.
+/// The fastest level that still finds the long-distance matches in the base of a delta.
 constexpr int compression_level = 3;
-/// Logarithms of the windows that every decoder accepts.
-constexpr int least_window_log = 10;
-constexpr int most_window_log = 27;
+/// Range of window sizes, as base-2 logarithms, that every decoder accepts.
+constexpr int min_window_log = 10;
+constexpr int max_window_log = 27;
 
 struct free_compressor {
     void operator()(ZSTD_CCtx* context) const { ZSTD_freeCCtx(context); }
@@ -24,10 +24,10 @@
     void operator()(ZSTD_DCtx* context) const { ZSTD_freeDCtx(context); }
 };
 
-/// A window that reaches from the end of the document back to the beginning of its base.
+/// Base-2 logarithm of a window that covers the document and its base, `bytes` in total.
 int window_log(std::size_t bytes) {
     const int needed = static_cast<int>(std::bit_width(bytes));
-    return std::clamp(needed, least_window_log, most_window_log);
+    return std::clamp(needed, min_window_log, max_window_log);
 }
 
 std::string compress(std::string_view text, std::string_view base) {
@@ -43,7 +43,7 @@
     const std::size_t size =
         ZSTD_compress2(context.get(), out.data(), out.size(), text.data(), text.size());
     if (ZSTD_isError(size) != 0) {
-        // Only for want of memory, like any allocation.
+        // The only possible cause is a failed allocation.
         throw std::bad_alloc();
     }
     out.resize(size);
@@ -73,18 +73,18 @@
                                            document_failure& why) {
     const bool is_change = encoded.base_digest != 0;
     if (is_change && digest_of(base) != encoded.base_digest) {
-        why.set(document_error::base_mismatch, "a change of another document");
+        why.set(document_error::base_mismatch, "the base document differs");
         return std::nullopt;
     }
     const std::string& bytes = *encoded.bytes;
-    // Asked of the bytes themselves before memory is taken for what they say.
+    // Check the size declared in the frame header before allocating memory for it.
     const auto size = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
     if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN) {
         why.set(document_error::corrupt, "not an encoded document");
         return std::nullopt;
     }
     if (size > max_document_bytes) {
-        why.set(document_error::too_large, "unpacks to more than any document");
+        why.set(document_error::too_large, "the declared size exceeds the limit");
         return std::nullopt;
     }
     const std::unique_ptr<ZSTD_DCtx, free_decompressor> context(ZSTD_createDCtx());
--- a/bamboostream/src/Configuration/document_encoding.h
+++ b/bamboostream/src/Configuration/document_encoding.h
@@ -11,48 +11,49 @@
 
 namespace bamboostream {
 
-/// Why an encoded document could not be taken.
+/// Why an encoded document was rejected.
 enum class document_error : std::uint8_t {
     none,
-    /// It is, or says that it unpacks to, more than any deployment needs.
+    /// Its declared decompressed size exceeds `max_document_bytes`.
     too_large,
-    /// It is a change of another document than the one that is held.
+    /// It is a delta, and its base is not the given document.
     base_mismatch,
-    /// The bytes aren't what their sender encoded.
+    /// The bytes are not what the sender encoded.
     corrupt,
 };
 using document_failure = failure<document_error>;
 
-/// Documents over this size are refused: it holds several times the routes of the largest
-/// deployment planned, and two of it fit into the smallest instances.
+/// Maximum size of a document. It has room for several times the routes of the largest planned
+/// deployment, and two documents of this size fit into the memory of the smallest instances.
 inline constexpr std::size_t max_document_bytes = 16 * 1024 * 1024;
 
-/// A document as it goes between instances: compressed, whole or as the change of another one.
+/// A compressed document for transfer between instances, either complete or as a delta to a base.
 ///
-/// Routes grow with customers, while a change is as small as ever. Sent whole, each change keeps
-/// the links of small instances busy for as long as all routes together take; what has changed is
-/// small whatever else the document holds.
+/// The routes grow with the number of customers, while a single change stays small. Sending the
+/// complete document for each change would occupy the links of small instances for as long as all
+/// routes take; the size of a delta does not depend on the rest of the document.
 struct encoded_document {
     std::int64_t version = 0;
-    /// Of the document, so that who ends with another one notices.
+    /// Digest of the decoded document, to detect a wrong result.
     std::uint64_t digest = 0;
-    /// Of the document that this one is a change of; zero when it is whole.
+    /// Digest of the base document of a delta; zero for a complete document.
     std::uint64_t base_digest = 0;
+    /// Size of the decoded document.
     std::uint32_t document_bytes = 0;
     std::shared_ptr<const std::string> bytes;
-    /// Names the encoded bytes: two encodings of a document with the same name have the same bytes,
-    /// so a transfer may go on at another instance.
+    /// Hash of the encoded bytes. Encodings with the same name have the same bytes, so a transfer
+    /// can be continued from another instance.
     std::uint64_t name = 0;
 };
 
 /// The digest of a document.
 std::uint64_t digest_of(std::string_view document);
 
-/// Encodes `document`; as a change of `base` unless that is empty.
+/// Encodes `document` as a delta to `base`, or completely if `base` is empty.
 encoded_document encode_document(std::int64_t version, std::string_view document,
                                  std::string_view base);
 
-/// The document behind `encoded`, given the one that it is a change of.
+/// Decodes `encoded`; a delta needs its base document. Returns nothing and sets `why` on failure.
 std::optional<std::string> decode_document(const encoded_document& encoded, std::string_view base,
                                            document_failure& why);
 
--- a/bamboostream/src/Control/async_wait.h
+++ b/bamboostream/src/Control/async_wait.h
@@ -10,7 +10,7 @@
 
 namespace bamboostream {
 
-/// Suspends the calling coroutine for `time` on its own executor.
+/// Suspends the calling coroutine for `time` without blocking its executor.
 inline boost::asio::awaitable<void> pause_for(duration time) {
     boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor);
     timer.expires_after(time);
@@ -18,7 +18,7 @@
     co_await timer.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ec));
 }
 
-/// Waits on `timer` until `until` or until somebody cancels it.
+/// Waits until `until` or until `timer` is cancelled, whichever comes first.
 inline boost::asio::awaitable<void> wait_on(boost::asio::steady_timer& timer, time_point until) {
     timer.expires_at(until);
     boost::system::error_code ec;
--- a/bamboostream/src/Control/claim_service.cpp
+++ b/bamboostream/src/Control/claim_service.cpp
@@ -17,14 +17,14 @@
 const std::string stream_name = "ledger";
 constexpr milliseconds query_timeout{500};
 constexpr milliseconds query_pause{100};
-constexpr std::size_t most_entries_a_record = 2'000;
-constexpr std::size_t most_queued = 20'000;
+constexpr std::size_t max_entries_per_record = 2'000;
+constexpr std::size_t max_queued_entries = 20'000;
 constexpr char separator = '\x1f';
-/// Deployments keep clocks this close to each other.
+/// Maximum clock skew between the instances of a deployment.
 constexpr milliseconds clock_skew{1'000};
-/// Members that died are remembered for a minute; keys older than this may have been sent by an
-/// instance that nobody remembers.
-constexpr milliseconds gone_remembered{50'000};
+/// The membership keeps failed members for a minute; a call with a key older than this may have
+/// been sent by an instance that is no longer in the table.
+constexpr milliseconds gone_member_retention{50'000};
 } // namespace
 
 claim_service::claim_service(asio::io_context& context, log_service& log,
@@ -48,7 +48,8 @@
             continue;
         }
         log_is_down_ = false;
-        // When nothing is left to read, every earlier key is beyond judgement.
+        // If records were removed before they were read here, calls with keys older than the first
+        // available record can't be decided; with no record available, all keys up to now.
         const wall_time oldest = page->records.empty() ? wall_now() : page->records.front().time;
         table_.note_first_offset(page->first_offset, oldest);
         for (const log_record& record : page->records) {
@@ -65,18 +66,18 @@
         std::erase_if(own_, [keep_from](const auto& item) { return item.second.at < keep_from; });
         std::erase_if(last_claim_,
                       [this](const auto& item) { return !own_.contains(item.second); });
-        wake_readers();
+        notify_readers();
     }
 }
 
-void claim_service::wake_readers() {
+void claim_service::notify_readers() {
     for (const auto& reader : readers_) {
         reader->cancel();
     }
     readers_.clear();
 }
 
-asio::awaitable<bool> claim_service::wait_for_news(time_point until) {
+asio::awaitable<bool> claim_service::wait_for_log_update(time_point until) {
     if (monotonic_now() >= until) {
         co_return false;
     }
@@ -88,7 +89,7 @@
 
 milliseconds claim_service::append_period() const {
     const auto instances = static_cast<int>(membership_.members().usable().size());
-    return times_.append_share * std::max(instances, 1);
+    return times_.append_interval_per_instance * std::max(instances, 1);
 }
 
 void claim_service::enqueue(ledger_entry entry) {
@@ -96,16 +97,16 @@
     queue_filled_.cancel();
 }
 
-/// Group commit: everything that gathered since the last append goes into one record. The pause
-/// between appends grows with the number of instances, so that together they keep to a share of
-/// what the log takes.
+/// Group commit: all entries queued since the last append go into one record. The pause between
+/// appends grows with the number of instances, so that their total stays within a fixed part of the
+/// log's append rate.
 asio::awaitable<void> claim_service::append_loop() {
     while (true) {
         if (queue_.empty()) {
             co_await wait_on(queue_filled_, time_point::max());
             continue;
         }
-        const std::size_t count = std::min(queue_.size(), most_entries_a_record);
+        const std::size_t count = std::min(queue_.size(), max_entries_per_record);
         std::vector<ledger_entry> group(
             std::make_move_iterator(queue_.begin()),
             std::make_move_iterator(queue_.begin() + static_cast<std::ptrdiff_t>(count)));
@@ -119,13 +120,14 @@
             for (ledger_entry& entry : group) {
                 const bool is_claim = entry.kind == ledger_kind::claim;
                 if (is_claim && why.code == log_error::not_appended) {
-                    refused_[entry.claim] = true;
-                } else if (!is_claim && queue_.size() < most_queued) {
-                    // Outcomes and voids are repeated until the log has them; twice is harmless.
+                    rejected_claims_[entry.claim] = true;
+                } else if (!is_claim && queue_.size() < max_queued_entries) {
+                    // Outcomes and voids are retried until the log has them; duplicates are
+                    // harmless.
                     queue_.push_back(std::move(entry));
                 }
             }
-            wake_readers();
+            notify_readers();
             co_await pause_for(times_.retry_pause);
         }
         const duration used = monotonic_now() - started;
@@ -135,7 +137,7 @@
     }
 }
 
-std::optional<claim_result> claim_service::refuse_by_age(std::string_view key) const {
+std::optional<claim_result> claim_service::reject_by_key_age(std::string_view key) const {
     const wall_time made = uuid_v7_time(key);
     const wall_time now = wall_now();
     claim_result result;
@@ -145,7 +147,7 @@
         return result;
     }
     if (made < now - times_.window.count() || made < table_.horizon()) {
-        // The records that would tell may have been dropped, so "not run" could be a lie.
+        // The records that would show it may have been removed, so "not run" could be wrong.
         result.decision = claim_result::kind::unknown;
         result.reason = "the key is too old to know whether its call has run";
         return result;
@@ -155,7 +157,7 @@
 
 asio::awaitable<claim_result> claim_service::claim(std::string workspace, std::string key,
                                                    std::string call_digest, time_point deadline) {
-    if (auto refused = refuse_by_age(key)) {
+    if (auto refused = reject_by_key_age(key)) {
         co_return *refused;
     }
     while (true) {
@@ -170,9 +172,9 @@
         }
         std::optional<claim_result> settled;
         if (known.standing == call_standing::unclaimed) {
-            settled = co_await compete(workspace, key, call_digest, deadline);
+            settled = co_await place_claim(workspace, key, call_digest, deadline);
         } else {
-            settled = co_await learn_from_claimant(workspace, key, deadline);
+            settled = co_await resolve_claim(workspace, key, deadline);
         }
         if (settled) {
             co_return *settled;
@@ -180,14 +182,14 @@
     }
 }
 
-/// Makes a claim of this instance's own and waits for the log's word on it. Nothing when another
-/// claim came first, or when this one is void by now.
-asio::awaitable<std::optional<claim_result>> claim_service::compete(std::string workspace,
-                                                                    std::string key,
-                                                                    std::string call_digest,
-                                                                    time_point deadline) {
+/// Appends a claim of this instance and waits until it can be read back. Returns nothing if another
+/// claim came first or this one has been voided.
+asio::awaitable<std::optional<claim_result>> claim_service::place_claim(std::string workspace,
+                                                                        std::string key,
+                                                                        std::string call_digest,
+                                                                        time_point deadline) {
     if (!replayed_ || log_is_down_) {
-        co_return co_await say_not_run(workspace, key, "the ledger's log is unavailable");
+        co_return co_await confirm_not_run(workspace, key, "the ledger's log is unavailable");
     }
     ledger_entry entry;
     entry.kind = ledger_kind::claim;
@@ -197,14 +199,14 @@
     entry.claimant = membership_.members().self().id;
     entry.call_digest = std::move(call_digest);
     const std::string claim = entry.claim;
-    own_[claim] = {own_state::pending, 0, {}, wall_now()};
+    own_[claim] = {claim_state::pending, 0, {}, wall_now()};
     last_claim_[workspace + separator + key] = claim;
     ++claims_;
     enqueue(std::move(entry));
     while (true) {
         const claim_verdict verdict = table_.judge(workspace, key, claim);
         if (verdict == claim_verdict::won && monotonic_now() < deadline) {
-            own_[claim].state = own_state::dispatched;
+            own_[claim].state = claim_state::dispatched;
             claim_result result;
             result.decision = claim_result::kind::dispatch;
             result.claim = claim;
@@ -214,37 +216,37 @@
             abandon(workspace, key, claim);
             co_return std::nullopt;
         }
-        bool given_up = refused_.erase(claim) > 0;
+        bool given_up = rejected_claims_.erase(claim) > 0;
         if (!given_up) {
-            given_up = !co_await wait_for_news(deadline);
+            given_up = !co_await wait_for_log_update(deadline);
         }
         if (given_up) {
-            // Not dispatched, and from here on it never will be, whether or not the claim reaches
-            // the log. The void frees the key for a later try.
+            // The call was not sent and never will be under this claim, whether or not the claim
+            // reaches the log. The void releases the key for a later attempt.
             abandon(workspace, key, claim);
-            co_return co_await say_not_run(workspace, key,
-                                           "the claim could not be made certain in time");
+            co_return co_await confirm_not_run(workspace, key,
+                                               "the claim could not be made certain in time");
         }
     }
 }
 
 /// This request sent nothing, but an earlier one with the same key may have, through an instance
-/// whose records can't be read now. "Not run" is said only when every instance that could have
-/// sent the call is alive and says that it didn't; otherwise the honest word is "unknown".
-asio::awaitable<claim_result> claim_service::say_not_run(std::string workspace, std::string key,
-                                                         std::string reason) {
+/// whose records can't be read now. Returns `not_run` only if every instance that could have sent
+/// the call is reachable and confirms that it did not, otherwise `unknown`.
+asio::awaitable<claim_result> claim_service::confirm_not_run(std::string workspace, std::string key,
+                                                             std::string reason) {
     claim_result result;
     result.decision = claim_result::kind::unknown;
     result.reason = reason + "; an earlier request with this key may have run";
     const wall_time made = uuid_v7_time(key) - clock_skew.count();
     const member_table& members = membership_.members();
-    bool all_known = members.self().id.start_stamp < made &&
-                     wall_now() - made < gone_remembered.count() &&
-                     table_.view(workspace, key).standing == call_standing::unclaimed;
+    bool all_confirmed = members.self().id.start_stamp < made &&
+                         wall_now() - made < gone_member_retention.count() &&
+                         table_.view(workspace, key).standing == call_standing::unclaimed;
     for (const std::string& address : members.all_addresses()) {
         const auto peer = members.find(address);
-        if (!all_known || !peer || peer->id.start_stamp > made) {
-            all_known = false;
+        if (!all_confirmed || !peer || peer->id.start_stamp > made) {
+            all_confirmed = false;
             break;
         }
         wire::LedgerQueryT query;
@@ -254,19 +256,20 @@
         const auto reply =
             co_await links_.call(address, make_frame(std::move(query)), query_timeout, why);
         const bool answered = reply && reply->message.type == wire::Message::LedgerReply;
-        all_known = answered && reply->message.AsLedgerReply()->abandoned;
+        all_confirmed = answered && reply->message.AsLedgerReply()->abandoned;
     }
-    if (all_known) {
+    if (all_confirmed) {
         result.decision = claim_result::kind::not_run;
         result.reason = reason;
     }
     co_return result;
 }
 
-/// The first claim that stands has no outcome in the log yet: its claimant may know more. Nothing
-/// when the claim is void by now, so that a new one may be made.
+/// Finds the outcome of a claim that another request made, from the log or from the claimant, which
+/// may be ahead of the log. Returns nothing if that claim has been voided, so that a new one can be
+/// made.
 asio::awaitable<std::optional<claim_result>>
-claim_service::learn_from_claimant(std::string workspace, std::string key, time_point deadline) {
+claim_service::resolve_claim(std::string workspace, std::string key, time_point deadline) {
     claim_result result;
     result.decision = claim_result::kind::unknown;
     while (true) {
@@ -280,14 +283,14 @@
             result.body = view.body;
             co_return result;
         }
-        const claimant_word told = co_await ask_claimant(workspace, key, view);
-        if (told.state == own_state::decided) {
+        const claimant_report answer = co_await ask_claimant(workspace, key, view);
+        if (answer.state == claim_state::decided) {
             result.decision = claim_result::kind::decided;
-            result.status = told.status;
-            result.body = told.body;
+            result.status = answer.status;
+            result.body = answer.body;
             co_return result;
         }
-        if (told.state == own_state::unknown) {
+        if (answer.state == claim_state::unknown) {
             result.reason =
                 "the call was sent and its answer, or the instance that sent it, is lost";
             co_return result;
@@ -296,26 +299,26 @@
             result.reason = "the call is still running or its instance can't be reached";
             co_return result;
         }
-        // Running, or given up with the void on its way.
+        // The call is running, or the claim was abandoned and its void is not yet in the log.
         co_await pause_for(query_pause);
     }
 }
 
-/// What the claimant says of a claim that stands. A claimant that is gone for good can't say, and
-/// that is "unknown" for ever; one that doesn't answer now counts as still running.
-asio::awaitable<claim_service::claimant_word>
+/// Asks the claimant for the state of a claim. If the claimant is gone for good, the result is
+/// `unknown` and stays so; if it does not answer now, the call counts as still running.
+asio::awaitable<claim_service::claimant_report>
 claim_service::ask_claimant(std::string workspace, std::string key, call_view view) {
-    claimant_word word;
+    claimant_report report;
     const auto own = own_.find(view.claim);
     if (own != own_.end()) {
-        co_return claimant_word{own->second.state, own->second.status, own->second.body};
+        co_return claimant_report{own->second.state, own->second.status, own->second.body};
     }
     const auto peer = membership_.members().find(view.claimant.address);
     const bool replaced = peer && peer->id.start_stamp > view.claimant.start_stamp;
     if (!peer || replaced || peer->state == liveness::gone ||
         view.claimant == membership_.members().self().id) {
-        word.state = own_state::unknown;
-        co_return word;
+        report.state = claim_state::unknown;
+        co_return report;
     }
     wire::LedgerQueryT query;
     query.workspace = std::move(workspace);
@@ -325,20 +328,20 @@
     const auto reply = co_await links_.call(view.claimant.address, make_frame(std::move(query)),
                                             query_timeout, why);
     if (!reply || reply->message.type != wire::Message::LedgerReply) {
-        co_return word;
+        co_return report;
     }
-    const wire::LedgerReplyT& told = *reply->message.AsLedgerReply();
-    word.state = told.decided     ? own_state::decided
-                 : told.abandoned ? own_state::abandoned
-                 : told.running   ? own_state::dispatched
-                                  : own_state::unknown;
-    word.status = told.status;
-    word.body = told.body;
-    co_return word;
+    const wire::LedgerReplyT& answer = *reply->message.AsLedgerReply();
+    report.state = answer.decided     ? claim_state::decided
+                   : answer.abandoned ? claim_state::abandoned
+                   : answer.running   ? claim_state::dispatched
+                                      : claim_state::unknown;
+    report.status = answer.status;
+    report.body = answer.body;
+    co_return report;
 }
 
-/// Asked about a claim: what became of it. Asked about a key (no claim named): "abandoned" when
-/// this instance has sent nothing for it.
+/// Reports the state of the given claim. If the query contains only a key, reports on this
+/// instance's last claim for it, or "abandoned" if this instance has sent nothing for it.
 asio::awaitable<std::unique_ptr<wire::FrameT>>
 claim_service::handle_query(const wire::LedgerQueryT& query) {
     wire::LedgerReplyT reply;
@@ -351,9 +354,9 @@
     const auto found = own_.find(claim);
     if (found != own_.end()) {
         const own_claim& own = found->second;
-        reply.running = own.state == own_state::pending || own.state == own_state::dispatched;
-        reply.abandoned = own.state == own_state::abandoned;
-        reply.decided = own.state == own_state::decided;
+        reply.running = own.state == claim_state::pending || own.state == claim_state::dispatched;
+        reply.abandoned = own.state == claim_state::abandoned;
+        reply.decided = own.state == claim_state::decided;
         reply.status = own.status;
         reply.body = own.body;
     }
@@ -362,7 +365,7 @@
 
 void claim_service::decided(const std::string& workspace, const std::string& key,
                             const std::string& claim, int status, const std::string& body) {
-    own_[claim] = {own_state::decided, status, body, wall_now()};
+    own_[claim] = {claim_state::decided, status, body, wall_now()};
     ledger_entry entry;
     entry.kind = ledger_kind::outcome;
     entry.workspace = workspace;
@@ -374,12 +377,12 @@
 }
 
 void claim_service::mark_unknown(const std::string& claim) {
-    own_[claim].state = own_state::unknown;
+    own_[claim].state = claim_state::unknown;
 }
 
 void claim_service::abandon(const std::string& workspace, const std::string& key,
                             const std::string& claim) {
-    own_[claim].state = own_state::abandoned;
+    own_[claim].state = claim_state::abandoned;
     own_[claim].at = wall_now();
     ledger_entry entry;
     entry.kind = ledger_kind::void_claim;
--- a/bamboostream/src/Control/claim_service.h
+++ b/bamboostream/src/Control/claim_service.h
@@ -22,18 +22,18 @@
 struct LedgerQueryT;
 }
 
-/// Whether this instance may send a non-idempotent call, or what its caller is told instead.
+/// Whether this instance may send a non-idempotent call, or else what to tell its caller.
 struct claim_result {
     enum class kind : std::uint8_t {
-        /// Dispatch it now, once, under `claim`.
+        /// The claim is won: send the call now, exactly once, under `claim`.
         dispatch,
-        /// It has run; `status` and `body` are its answer.
+        /// The call has run; `status` and `body` are its response.
         decided,
-        /// It was not run and will not be under this request.
+        /// The call was not sent and never will be for this request.
         not_run,
-        /// It can't be known whether it ran.
+        /// Whether the call ran can't be determined.
         unknown,
-        /// The key belongs to another call.
+        /// The key was used for a different call.
         key_reused,
     };
     kind decision = kind::not_run;
@@ -43,19 +43,21 @@
     std::string reason;
 };
 
-/// The asynchronous part of the ledger: groups claims, outcomes and voids into few appends, reads
-/// the log, and asks a claimant what became of its claim.
+/// The asynchronous part of the ledger, which ensures that a non-idempotent call is sent at most
+/// once. Batches claims, outcomes and voids into few appends, reads the log, and asks other
+/// instances for the state of their claims. Runs on the control thread.
 class claim_service {
 public:
+    /// Periods, timeouts and limits of the service.
     struct timing {
         milliseconds poll_wait{2'000};
         milliseconds retry_pause{100};
-        /// Least time between two appends of one instance, multiplied by the number of instances:
-        /// together they stay under 1000 / this many appends a second.
-        milliseconds append_share{10};
-        /// Age a key may have. Shorter than the log's retention.
+        /// Minimum time between two appends of one instance, multiplied by the number of instances:
+        /// together they make at most 1000 / (this in milliseconds) appends per second.
+        milliseconds append_interval_per_instance{10};
+        /// Maximum age of a key. Must be shorter than the log's retention.
         milliseconds window{600'000};
-        /// Clocks of callers and instances may differ by this much.
+        /// Maximum difference between the clocks of callers and instances.
         milliseconds clock_tolerance{60'000};
     };
 
@@ -63,55 +65,59 @@
                   membership_service& membership, link_hub& links, timing times);
 
     void start();
-    /// Claims a call until `deadline` (monotonic).
+    /// Claims a call, or finds the outcome of an earlier claim, until `deadline` (monotonic).
     boost::asio::awaitable<claim_result> claim(std::string workspace, std::string key,
                                                std::string call_digest, time_point deadline);
-    /// The dispatched call has this outcome; the same answer goes to every later retry.
+    /// Records the response of the sent call, which every later retry gets.
     void decided(const std::string& workspace, const std::string& key, const std::string& claim,
                  int status, const std::string& body);
-    /// The dispatched call may or may not have run; the claim stands without an outcome.
+    /// Records that the sent call may or may not have run; the claim stands without an outcome.
     void mark_unknown(const std::string& claim);
-    /// The claim was won but not a byte of the call was sent and none ever will be.
+    /// Voids a claim. No byte of the call may have been sent, or be sent later.
     void abandon(const std::string& workspace, const std::string& key, const std::string& claim);
+    /// Answers a query of another instance about a claim or a key.
     boost::asio::awaitable<std::unique_ptr<wire::FrameT>>
     handle_query(const wire::LedgerQueryT& query);
 
+    /// True once the existing records of the log have been read.
     bool ready() const { return replayed_; }
     std::size_t size() const { return table_.size(); }
     std::uint64_t appends() const { return appends_; }
     std::uint64_t claims() const { return claims_; }
 
 private:
-    /// What this instance knows of a claim of its own that the log may not tell yet.
-    enum class own_state : std::uint8_t { pending, dispatched, unknown, abandoned, decided };
+    /// State of one of this instance's own claims, which may be ahead of the log.
+    enum class claim_state : std::uint8_t { pending, dispatched, unknown, abandoned, decided };
     struct own_claim {
-        own_state state = own_state::pending;
+        claim_state state = claim_state::pending;
         int status = 0;
         std::string body;
         wall_time at = 0;
     };
 
-    /// What a claimant says of its claim.
-    struct claimant_word {
-        own_state state = own_state::dispatched;
+    /// A claimant's answer about its claim.
+    struct claimant_report {
+        claim_state state = claim_state::dispatched;
         int status = 0;
         std::string body;
     };
 
     boost::asio::awaitable<void> tail_loop();
     boost::asio::awaitable<void> append_loop();
-    boost::asio::awaitable<bool> wait_for_news(time_point until);
+    boost::asio::awaitable<bool> wait_for_log_update(time_point until);
+    boost::asio::awaitable<std::optional<claim_result>> place_claim(std::string workspace,
+                                                                    std::string key,
+                                                                    std::string call_digest,
+                                                                    time_point deadline);
     boost::asio::awaitable<std::optional<claim_result>>
-    compete(std::string workspace, std::string key, std::string call_digest, time_point deadline);
-    boost::asio::awaitable<std::optional<claim_result>>
-    learn_from_claimant(std::string workspace, std::string key, time_point deadline);
-    boost::asio::awaitable<claimant_word> ask_claimant(std::string workspace, std::string key,
-                                                       call_view view);
-    boost::asio::awaitable<claim_result> say_not_run(std::string workspace, std::string key,
-                                                     std::string reason);
-    std::optional<claim_result> refuse_by_age(std::string_view key) const;
+    resolve_claim(std::string workspace, std::string key, time_point deadline);
+    boost::asio::awaitable<claimant_report> ask_claimant(std::string workspace, std::string key,
+                                                         call_view view);
+    boost::asio::awaitable<claim_result> confirm_not_run(std::string workspace, std::string key,
+                                                         std::string reason);
+    std::optional<claim_result> reject_by_key_age(std::string_view key) const;
     void enqueue(ledger_entry entry);
-    void wake_readers();
+    void notify_readers();
     milliseconds append_period() const;
 
     boost::asio::io_context& context_;
@@ -121,8 +127,8 @@
     timing times_;
     claim_table table_;
     std::vector<ledger_entry> queue_;
-    /// Claims whose record was refused by the log, so that they certainly never stand.
-    std::unordered_map<std::string, bool> refused_;
+    /// Claims whose record the log rejected, so that they can never take effect.
+    std::unordered_map<std::string, bool> rejected_claims_;
     std::unordered_map<std::string, own_claim> own_;
     /// This instance's last claim for a call, by workspace and key.
     std::unordered_map<std::string, std::string> last_claim_;
--- a/bamboostream/src/Control/configuration_service.cpp
+++ b/bamboostream/src/Control/configuration_service.cpp
@@ -16,8 +16,8 @@
 const std::string stream_name = "configuration";
 constexpr milliseconds peer_period{500};
 constexpr milliseconds peer_timeout{1'000};
-constexpr milliseconds snapshot_check{1'000};
-constexpr std::size_t kept_verdicts = 4'000;
+constexpr milliseconds snapshot_check_period{1'000};
+constexpr std::size_t max_kept_verdicts = 4'000;
 } // namespace
 
 configuration_service::configuration_service(asio::io_context& context, log_service& log,
@@ -44,7 +44,7 @@
     }
 }
 
-void configuration_service::take(const log_page& page) {
+void configuration_service::apply_page(const log_page& page) {
     state_.note_first_offset(page.first_offset);
     for (const log_record& record : page.records) {
         auto verdict = state_.apply(record);
@@ -63,7 +63,7 @@
         const std::string id = verdict->id;
         const auto waiter = waiting_.find(id);
         if (waiter != waiting_.end()) {
-            // A repeat is told what became of the first one.
+            // A repeated submission gets the verdict of the first one.
             verdicts_.try_emplace(id, std::move(*verdict));
             waiter->second->cancel();
         }
@@ -77,7 +77,7 @@
         const auto page =
             co_await log_.read(stream_name, state_.next_offset(), times_.poll_wait, why);
         if (page) {
-            take(*page);
+            apply_page(*page);
             if (log_is_down_) {
                 log_event(events::log_available, "stream={}", stream_name);
             }
@@ -93,7 +93,8 @@
 }
 
 asio::awaitable<bool> configuration_service::ask_peer() {
-    // The peer that says it has the newest version; any live one while this instance has a hole.
+    // Ask the peer with the newest announced version; any live peer will do while records are
+    // missing here.
     std::string best;
     std::int64_t newest = state_.is_complete() ? state_.version() : -1;
     for (const member_facts& peer : membership_.members().others()) {
@@ -140,11 +141,11 @@
 asio::awaitable<void> configuration_service::snapshot_loop() {
     last_snapshot_seen_ = monotonic_now();
     while (true) {
-        co_await pause_for(snapshot_check);
+        co_await pause_for(snapshot_check_period);
         const auto owners = membership_.owners("role:configuration-snapshot", 1);
-        const bool mine = !owners.empty() && owners.front() == membership_.own_address();
+        const bool is_owner = !owners.empty() && owners.front() == membership_.own_address();
         const bool due = monotonic_now() - last_snapshot_seen_ >= times_.snapshot_period;
-        if (!mine || !due || log_is_down_ || !state_.is_complete() || state_.version() == 0) {
+        if (!is_owner || !due || log_is_down_ || !state_.is_complete() || state_.version() == 0) {
             continue;
         }
         log_failure why;
@@ -170,7 +171,7 @@
         verdict.outcome = submission_outcome::undecided;
         co_return verdict;
     }
-    // Whether or not the answer came, only reading the record back decides.
+    // Whether or not the append was acknowledged, only reading the record back decides.
     while (!verdicts_.contains(id) && monotonic_now() < until) {
         co_await wait_on(*arrived, until);
     }
@@ -181,7 +182,7 @@
         co_return verdict;
     }
     verdict = found->second;
-    if (verdicts_.size() > kept_verdicts) {
+    if (verdicts_.size() > max_kept_verdicts) {
         verdicts_.clear();
     }
     co_return verdict;
--- a/bamboostream/src/Control/configuration_service.h
+++ b/bamboostream/src/Control/configuration_service.h
@@ -20,10 +20,12 @@
 struct ConfigurationRequestT;
 }
 
-/// Keeps the configuration in force: tails the log, catches up from peers while the log is down,
-/// takes submissions, and restates snapshots before retention takes the records behind them.
+/// Maintains the configuration in force: follows the log, catches up from peers while the log is
+/// down, appends submissions, and writes snapshots before log retention removes the records that
+/// they replace. Runs on the control thread, except for `document` and `version`.
 class configuration_service {
 public:
+    /// Periods, timeouts and limits of the service.
     struct timing {
         milliseconds poll_wait{2'000};
         milliseconds retry_pause{200};
@@ -35,16 +37,17 @@
                           membership_service& membership, link_hub& links, timing times);
 
     void start();
-    /// Called on the control thread when a newer version is in force.
+    /// Sets a function that is called on the control thread when a newer version is in force.
     void on_change(std::function<void()> listener) { listener_ = std::move(listener); }
     /// The document in force; may be called on any thread.
     std::shared_ptr<const configuration_document> document() const { return document_.load(); }
     std::int64_t version() const { return version_.load(); }
     const configuration_state& state() const { return state_; }
 
-    /// Appends a submission and waits for the log's verdict. `undecided` means that it may still
-    /// be accepted; submitting again with the same id is safe.
+    /// Appends a submission and waits until it has been read back from the log. `undecided` means
+    /// that it may still be accepted; it is safe to submit it again with the same id.
     boost::asio::awaitable<submission_verdict> submit(configuration_submission submission);
+    /// Answers a peer's request with this instance's state if it is newer.
     std::unique_ptr<wire::FrameT> handle_request(const wire::ConfigurationRequestT& request);
 
 private:
@@ -52,7 +55,7 @@
     boost::asio::awaitable<void> peer_loop();
     boost::asio::awaitable<void> snapshot_loop();
     boost::asio::awaitable<bool> ask_peer();
-    void take(const log_page& page);
+    void apply_page(const log_page& page);
     void publish();
 
     boost::asio::io_context& context_;
--- a/bamboostream/src/Control/frames.h
+++ b/bamboostream/src/Control/frames.h
@@ -12,31 +12,32 @@
 
 namespace bamboostream {
 
-/// A frame around one message.
+/// Wraps a message in a frame.
 template <class Message> wire::FrameT make_frame(Message message) {
     wire::FrameT frame;
     frame.message.Set(std::move(message));
     return frame;
 }
 
-/// A reply frame around one message, as link handlers return it.
+/// Wraps a message in a reply frame, in the form that link handlers return.
 template <class Message> std::unique_ptr<wire::FrameT> make_reply(Message message) {
     return std::make_unique<wire::FrameT>(make_frame(std::move(message)));
 }
 
-/// Member facts as they travel.
+/// Conversion of member facts to and from their wire format.
 std::unique_ptr<wire::MemberFactT> to_wire(const member_facts& facts);
 member_facts from_wire(const wire::MemberFactT& fact);
 
-/// Gossip as it travels in probes and their answers.
+/// Conversion of gossip to and from the wire format of probes and their answers.
 wire::ProbeT to_wire(const member_gossip& gossip);
 member_gossip from_wire(const wire::ProbeT& probe);
 
-/// Ages go as milliseconds, since clocks of instances aren't compared; the longest that a frame can
-/// say stands for what was never known.
+/// Converts an age to milliseconds. Ages are sent instead of points in time because the clocks of
+/// instances are not comparable. The largest value means that there never was a view.
 std::uint32_t age_to_wire(duration age);
 
-/// Evidence against requests that end backend servers.
+/// Conversion of evidence against requests that end backend servers to and from its wire format.
+/// Times are sent as ages relative to `now`.
 wire::HarmReportT to_wire(std::span<const harm_evidence> evidence, time_point now);
 std::vector<harm_evidence> from_wire(const wire::HarmReportT& report, time_point now);
 
--- a/bamboostream/src/Control/home_service.cpp
+++ b/bamboostream/src/Control/home_service.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr milliseconds home_timeout{400};
-constexpr std::size_t homes_a_key = 2;
-/// Longer than any caller waits with a retry.
+constexpr std::size_t homes_per_key = 2;
+/// Longer than any caller waits before a retry.
 constexpr std::chrono::minutes entry_lifetime{10};
 constexpr seconds expiry_period{5};
-constexpr std::size_t most_entries = 500'000;
+constexpr std::size_t max_entries = 500'000;
 
-std::string entry_name(const std::string& workspace, const std::string& key) {
+std::string entry_key(const std::string& workspace, const std::string& key) {
     return workspace + '\x1f' + key;
 }
 
@@ -26,7 +26,7 @@
 
 std::vector<std::string> home_service::homes(const std::string& workspace,
                                              const std::string& key) const {
-    return membership_.owners("home:" + entry_name(workspace, key), homes_a_key);
+    return membership_.owners("home:" + entry_key(workspace, key), homes_per_key);
 }
 
 bool home_service::holder_alive(const entry& e) const {
@@ -35,18 +35,19 @@
 }
 
 void home_service::expire(time_point now) {
-    if (now - last_expiry_ < expiry_period && entries_.size() < most_entries) {
+    if (now - last_expiry_ < expiry_period && entries_.size() < max_entries) {
         return;
     }
     last_expiry_ = now;
-    std::erase_if(entries_,
-                  [now](const auto& item) { return now - item.second.touched > entry_lifetime; });
+    std::erase_if(entries_, [now](const auto& item) {
+        return now - item.second.updated_at > entry_lifetime;
+    });
 }
 
 home_answer home_service::decide(const wire::HomeRequestT& request, const std::string& sender,
                                  time_point now) {
     expire(now);
-    const std::string name = entry_name(request.workspace, request.key);
+    const std::string name = entry_key(request.workspace, request.key);
     const auto found = entries_.find(name);
     if (request.release) {
         if (found != entries_.end() && found->second.claimant == request.claimant) {
@@ -55,7 +56,7 @@
         return {};
     }
     const bool held = found != entries_.end() && found->second.claimant != request.claimant;
-    // A holder that died before it had a stream will never have one.
+    // A claimant whose instance failed before it had a stream will never have one.
     const bool stale = held && found->second.handle.empty() && !holder_alive(found->second);
     if (held && !stale && !request.take_over) {
         return {false, found->second.handle, found->second.claimant};
@@ -63,7 +64,7 @@
     entry& e = entries_[name];
     e.claimant = request.claimant;
     e.sender = sender;
-    e.touched = now;
+    e.updated_at = now;
     if (!request.handle.empty() || stale) {
         e.handle = request.handle;
     }
@@ -87,7 +88,8 @@
     request.key = key;
     request.claimant = claimant;
     home_answer result;
-    // The first home decides; the second is told too, so that it can answer when the first dies.
+    // The first home decides; the second also records the claim, so that it can answer if the first
+    // one fails.
     for (const std::string& home : homes(workspace, key)) {
         home_answer answer;
         if (home == membership_.own_address()) {
@@ -98,8 +100,8 @@
             if (!reply || reply->message.type != wire::Message::HomeReply) {
                 continue;
             }
-            const wire::HomeReplyT& told = *reply->message.AsHomeReply();
-            answer = {told.first, told.handle, told.claimant};
+            const wire::HomeReplyT& reply_body = *reply->message.AsHomeReply();
+            answer = {reply_body.first, reply_body.handle, reply_body.claimant};
         }
         if (!answer.first) {
             co_return answer;
@@ -109,7 +111,7 @@
     co_return result;
 }
 
-void home_service::tell(const wire::HomeRequestT& request) {
+void home_service::notify_homes(const wire::HomeRequestT& request) {
     for (const std::string& home : homes(request.workspace, request.key)) {
         if (home == membership_.own_address()) {
             decide(request, home, monotonic_now());
@@ -126,7 +128,7 @@
     request.key = key;
     request.claimant = claimant;
     request.handle = handle;
-    tell(request);
+    notify_homes(request);
 }
 
 void home_service::release(const std::string& workspace, const std::string& key,
@@ -136,7 +138,7 @@
     request.key = key;
     request.claimant = claimant;
     request.release = true;
-    tell(request);
+    notify_homes(request);
 }
 
 void home_service::take_over(const std::string& workspace, const std::string& key,
@@ -146,7 +148,7 @@
     request.key = key;
     request.claimant = claimant;
     request.take_over = true;
-    tell(request);
+    notify_homes(request);
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Control/home_service.h
+++ b/bamboostream/src/Control/home_service.h
@@ -14,35 +14,37 @@
 struct HomeRequestT;
 }
 
-/// What the home of a key answered.
+/// Answer of a key's home to a claim.
 struct home_answer {
-    /// The asker is the first and may run the request.
+    /// The caller is the first claimant and may run the request.
     bool first = true;
-    /// Handle of the stream that already runs; empty while it has none yet.
+    /// Handle of the running stream; empty while there is none yet.
     std::string handle;
-    /// Who holds the key.
+    /// Current claimant of the key.
     std::string claimant;
 };
 
-/// Keeps, for each (workspace, key), who runs the request, so that a retry attaches to the running
-/// stream instead of starting a second one. Each key has two homes in different failure domains.
-/// Homes only save double work: when none answers, the request is run.
+/// Tracks which claimant runs the request of each (workspace, key), so that a retry attaches to the
+/// running stream instead of starting a second one. The homes of a key are the two instances, in
+/// different failure domains, that rendezvous hashing selects as its owners. They only avoid
+/// duplicate work: if none answers, the request is run. Runs on the control thread.
 class home_service {
 public:
     home_service(membership_service& membership, link_hub& links);
 
-    /// Claims a key for `claimant`, or learns who has it.
+    /// Claims a key for `claimant`, or returns its current claimant.
     boost::asio::awaitable<home_answer> claim(std::string workspace, std::string key,
                                               std::string claimant);
-    /// Tells the homes the handle of the stream.
+    /// Sends the stream's handle to the homes.
     void publish(const std::string& workspace, const std::string& key, const std::string& claimant,
                  const std::string& handle);
-    /// The claimant gave up without a stream.
+    /// Releases the key of a claimant that gave up without a stream.
     void release(const std::string& workspace, const std::string& key, const std::string& claimant);
-    /// Replaces whoever holds the key: used when a stream is taken up again elsewhere.
+    /// Replaces the current claimant; used when a stream is resumed at another instance.
     void take_over(const std::string& workspace, const std::string& key,
                    const std::string& claimant);
 
+    /// Answers a claim, handle, release or takeover sent by another instance.
     std::unique_ptr<wire::FrameT> handle(const wire::HomeRequestT& request,
                                          const std::string& sender);
     std::size_t size() const { return entries_.size(); }
@@ -52,10 +54,10 @@
         std::string claimant;
         std::string handle;
         std::string sender;
-        time_point touched{};
+        time_point updated_at{};
     };
     std::vector<std::string> homes(const std::string& workspace, const std::string& key) const;
-    void tell(const wire::HomeRequestT& request);
+    void notify_homes(const wire::HomeRequestT& request);
     home_answer decide(const wire::HomeRequestT& request, const std::string& sender,
                        time_point now);
     void expire(time_point now);
--- a/bamboostream/src/Control/membership_service.cpp
+++ b/bamboostream/src/Control/membership_service.cpp
@@ -17,9 +17,9 @@
 namespace {
 
 const membership_timing gossip_timing{};
-/// Owners are kept for pools, services and roles, which are few; homes of callers' keys are many
-/// and asked for once or twice each.
-constexpr std::size_t most_orders_kept = 256;
+/// The cache is meant for the owners of pools, services and roles, which are few. Callers' keys are
+/// many, and their homes are looked up only once or twice each.
+constexpr std::size_t max_cached_owner_lists = 256;
 
 const event_kind* event_of(const member_change& change) {
     if (!change.was_known) {
@@ -82,8 +82,8 @@
     }
 }
 
-asio::awaitable<bool> membership_service::ask(std::string peer, std::string target,
-                                              milliseconds timeout) {
+asio::awaitable<bool> membership_service::send_probe(std::string peer, std::string target,
+                                                     milliseconds timeout) {
     link_failure why;
     wire::ProbeT probe = to_wire(members_.probe_gossip());
     probe.target = target;
@@ -92,22 +92,22 @@
         co_return false;
     }
     const wire::ProbeT& answer = *reply->message.AsProbe();
-    const member_gossip told = from_wire(answer);
-    members_.hear(told, reply->sender, monotonic_now());
-    if (const auto missing = members_.gossip_missing_at(told)) {
+    const member_gossip answer_received = from_wire(answer);
+    members_.hear(answer_received, reply->sender, monotonic_now());
+    if (const auto missing = members_.gossip_missing_at(answer_received)) {
         links_.send(peer, make_frame(to_wire(*missing)));
     }
-    // A helper that could not reach the target answers without naming it.
+    // A helper that could not reach the target leaves it empty in the answer.
     co_return target.empty() || answer.target == target;
 }
 
 asio::awaitable<void> membership_service::probe_one(std::string peer) {
-    if (co_await ask(peer, "", gossip_timing.probe_timeout)) {
+    if (co_await send_probe(peer, "", gossip_timing.probe_timeout)) {
         members_.probe_answered(peer, monotonic_now());
         co_return;
     }
     for (const std::string& helper : members_.choose_helpers(peer)) {
-        if (co_await ask(helper, peer, gossip_timing.probe_timeout * 3 / 2)) {
+        if (co_await send_probe(helper, peer, gossip_timing.probe_timeout * 3 / 2)) {
             members_.probe_answered(peer, monotonic_now());
             co_return;
         }
@@ -118,14 +118,14 @@
 
 asio::awaitable<std::unique_ptr<wire::FrameT>>
 membership_service::handle_probe(const wire::ProbeT& probe, std::string sender) {
-    const member_gossip heard = from_wire(probe);
-    members_.hear(heard, sender, monotonic_now());
+    const member_gossip received = from_wire(probe);
+    members_.hear(received, sender, monotonic_now());
     const std::string target = probe.target;
     bool reached = false;
     if (!target.empty()) {
-        reached = co_await ask(target, "", gossip_timing.probe_timeout);
+        reached = co_await send_probe(target, "", gossip_timing.probe_timeout);
     }
-    wire::ProbeT answer = to_wire(members_.answer_gossip(heard));
+    wire::ProbeT answer = to_wire(members_.answer_gossip(received));
     answer.target = reached ? target : std::string{};
     report_changes();
     co_return make_reply(std::move(answer));
@@ -170,9 +170,9 @@
 asio::awaitable<void> membership_service::watch_loop() {
     while (true) {
         for (const backend_facts& backend : backends_.all()) {
-            const bool mine = backend.kind == backend_kind::plain_service || !watches_pool_ ||
-                              watches_pool_(backend.group);
-            if (mine) {
+            const bool is_watcher = backend.kind == backend_kind::plain_service || !watches_pool_ ||
+                                    watches_pool_(backend.group);
+            if (is_watcher) {
                 asio::co_spawn(context_, watch_one(backend), asio::detached);
             }
         }
@@ -213,12 +213,12 @@
 }
 
 void membership_service::refresh_views() const {
-    if (views_known_ && views_revision_ == members_.revision()) {
+    if (views_valid_ && views_revision_ == members_.revision()) {
         return;
     }
-    views_known_ = true;
+    views_valid_ = true;
     views_revision_ = members_.revision();
-    orders_.clear();
+    owner_lists_.clear();
     usable_peers_.clear();
     nodes_.clear();
     failure_domains_.clear();
@@ -243,33 +243,32 @@
 }
 
 std::vector<std::string> membership_service::owners(std::string_view key, std::size_t count) const {
-    return remembered_owners(key, count, {});
+    return cached_owners(key, count, {});
 }
 
 std::vector<std::string> membership_service::owners_in(const std::string& failure_domain,
                                                        std::string_view key,
                                                        std::size_t count) const {
-    return remembered_owners(key, count, failure_domain);
+    return cached_owners(key, count, failure_domain);
 }
 
-std::vector<std::string>
-membership_service::remembered_owners(std::string_view key, std::size_t count,
-                                      std::string_view failure_domain) const {
+std::vector<std::string> membership_service::cached_owners(std::string_view key, std::size_t count,
+                                                           std::string_view failure_domain) const {
     refresh_views();
     std::string name = fmt::format("{} {} {}", count, failure_domain, key);
-    const auto known = orders_.find(name);
-    if (known != orders_.end()) {
+    const auto known = owner_lists_.find(name);
+    if (known != owner_lists_.end()) {
         return known->second;
     }
-    if (orders_.size() >= most_orders_kept) {
-        orders_.clear();
+    if (owner_lists_.size() >= max_cached_owner_lists) {
+        owner_lists_.clear();
     }
     std::vector<rendezvous_node> candidates;
     std::copy_if(nodes_.begin(), nodes_.end(), std::back_inserter(candidates),
                  [&](const rendezvous_node& node) {
                      return failure_domain.empty() || node.failure_domain == failure_domain;
                  });
-    return orders_.emplace(std::move(name), rendezvous_owners(key, candidates, count))
+    return owner_lists_.emplace(std::move(name), rendezvous_owners(key, candidates, count))
         .first->second;
 }
 
--- a/bamboostream/src/Control/placement_service.cpp
+++ b/bamboostream/src/Control/placement_service.cpp
@@ -23,7 +23,7 @@
 
 void placement_service::start() {
     asio::co_spawn(context_, tail_loop(), asio::detached);
-    asio::co_spawn(context_, round_loop(), asio::detached);
+    asio::co_spawn(context_, reconcile_loop(), asio::detached);
 }
 
 bool placement_service::may_act(std::string_view pool, time_point now) const {
@@ -37,7 +37,7 @@
         const auto page =
             co_await log_.read(stream_name, leases_.next_offset(), times_.poll_wait, why);
         if (!page) {
-            co_await pause_for(times_.round);
+            co_await pause_for(times_.round_period);
             continue;
         }
         for (const log_record& record : page->records) {
@@ -46,34 +46,34 @@
     }
 }
 
-asio::awaitable<void> placement_service::round_loop() {
+asio::awaitable<void> placement_service::reconcile_loop() {
     while (true) {
-        co_await pause_for(times_.round);
+        co_await pause_for(times_.round_period);
         const auto document = configuration_.document();
         for (const auto& [name, wanted] : document->pools) {
             const auto owners = membership_.owners("placement:" + name, 1);
             if (!owners.empty() && owners.front() == membership_.own_address()) {
-                co_await serve_pool(name, wanted);
+                co_await reconcile_pool(name, wanted);
             }
         }
     }
 }
 
-/// Takes or renews the lease when orders are due. The right to act counts from before the record
-/// was sent, by this instance's monotonic clock, and ends `reserve` before the lease can: a holder
-/// that was frozen finds its time over when it wakes.
-asio::awaitable<bool> placement_service::hold_lease(std::string pool) {
+/// Acquires or renews the lease when orders are due. The time to act is measured from before the
+/// record was sent, by this instance's monotonic clock, and ends `safety_margin` before the
+/// earliest end of the lease: a holder that was suspended finds its time over when it continues.
+asio::awaitable<bool> placement_service::acquire_lease(std::string pool) {
     pool_state& state = pools_[pool];
     const instance_id& self = membership_.members().self().id;
-    if (may_act(pool, monotonic_now() + times_.reserve)) {
+    if (may_act(pool, monotonic_now() + times_.safety_margin)) {
         co_return true;
     }
     const time_point sent = monotonic_now();
     log_failure why;
     const auto offset =
         co_await log_.append(stream_name, lease_table::acquire_record(pool, self), why);
-    const time_point give_up = sent + times_.reserve;
-    while (offset && leases_.next_offset() <= *offset && monotonic_now() < give_up) {
+    const time_point wait_until = sent + times_.safety_margin;
+    while (offset && leases_.next_offset() <= *offset && monotonic_now() < wait_until) {
         co_await pause_for(milliseconds(10));
     }
     const bool read_back = offset && leases_.next_offset() > *offset;
@@ -86,11 +86,12 @@
         state.won_at = sent;
     }
     state.held = held;
-    state.act_until = held ? sent + times_.lease - times_.reserve : time_point{};
+    state.act_until = held ? sent + times_.lease - times_.safety_margin : time_point{};
     co_return held;
 }
 
-asio::awaitable<std::vector<placed_engine>> placement_service::true_state(std::string pool) {
+asio::awaitable<std::vector<placed_engine>>
+placement_service::read_engine_states(std::string pool) {
     std::vector<placed_engine> out;
     for (const backend_facts& backend : membership_.backends().group(pool)) {
         if (backend.kind != backend_kind::engine || backend.state == backend_state::down) {
@@ -107,19 +108,19 @@
     co_return out;
 }
 
-asio::awaitable<void> placement_service::serve_pool(std::string pool, pool_settings wanted) {
-    const std::vector<placed_engine> engines = co_await true_state(pool);
+asio::awaitable<void> placement_service::reconcile_pool(std::string pool, pool_settings wanted) {
+    const std::vector<placed_engine> engines = co_await read_engine_states(pool);
     const load_pace pace;
     const auto planned = next_order(wanted, engines, pace, pools_[pool].last_load, monotonic_now());
     if (!planned) {
         co_return;
     }
-    const bool held = co_await hold_lease(pool);
-    // Engines that ignore fencing numbers may still carry out an order that the last holder sent
-    // late. A new holder lets such orders arrive before it looks at the true state again, so that
-    // it corrects them instead of racing them.
-    const bool settled =
-        wanted.engines_check_fencing || monotonic_now() - pools_[pool].won_at >= times_.reserve;
+    const bool held = co_await acquire_lease(pool);
+    // Engines that ignore fencing numbers may still execute a late order of the previous holder. A
+    // new holder waits for such orders to arrive before it reads the engines' state again, so that
+    // it corrects them instead of racing with them.
+    const bool settled = wanted.engines_check_fencing ||
+                         monotonic_now() - pools_[pool].won_at >= times_.safety_margin;
     if (held && settled) {
         co_await send_order(pool, *planned);
     }
@@ -142,7 +143,8 @@
               planned.engine.text(), planned.order.kind, planned.order.model, planned.order.version,
               planned.order.adapter, planned.order.fencing, why.text);
     if (why.code == engine_error::fenced) {
-        // Somebody holds a later lease: this one is over, whatever the own clock says.
+        // Another instance holds a later lease, so this one is over even if it is still valid by
+        // the local clock.
         pools_[pool].held = false;
     }
 }
--- a/bamboostream/src/Control/placement_service.h
+++ b/bamboostream/src/Control/placement_service.h
@@ -15,16 +15,18 @@
 
 namespace bamboostream {
 
-/// Brings the engines of each pool to what the configuration wants. The pool's owner takes the
-/// pool's lease on the log, reads the engines' true state and sends one order after the other, only
-/// well inside the lease by its own monotonic clock.
+/// Reconciles the engines of each pool with the configuration. The pool's owner acquires the pool's
+/// lease through the log, reads the state of the engines and sends one order at a time. It acts
+/// only while the lease is valid with a safety margin by its own monotonic clock. Runs on the
+/// control thread.
 class placement_service {
 public:
+    /// Periods, timeouts and limits of the service.
     struct timing {
         milliseconds lease{6'000};
-        /// Time before the lease's end at which the holder stops to act.
-        milliseconds reserve{2'000};
-        milliseconds round{500};
+        /// How long before the end of the lease its holder stops acting.
+        milliseconds safety_margin{2'000};
+        milliseconds round_period{500};
         milliseconds order_timeout{1'000};
         milliseconds poll_wait{1'000};
     };
@@ -33,12 +35,12 @@
                       configuration_service& configuration, membership_service& membership,
                       timing times);
     void start();
-    /// Whether this instance holds a pool's lease and may act on it now.
+    /// True if this instance holds the pool's lease and may act on it at `now`.
     bool may_act(std::string_view pool, time_point now) const;
 
 private:
     struct pool_state {
-        /// Until when this instance may act, by its own clock.
+        /// Until when this instance may act, by its own monotonic clock.
         time_point act_until{};
         bool held = false;
         time_point won_at{};
@@ -46,10 +48,10 @@
     };
 
     boost::asio::awaitable<void> tail_loop();
-    boost::asio::awaitable<void> round_loop();
-    boost::asio::awaitable<void> serve_pool(std::string pool, pool_settings wanted);
-    boost::asio::awaitable<bool> hold_lease(std::string pool);
-    boost::asio::awaitable<std::vector<placed_engine>> true_state(std::string pool);
+    boost::asio::awaitable<void> reconcile_loop();
+    boost::asio::awaitable<void> reconcile_pool(std::string pool, pool_settings wanted);
+    boost::asio::awaitable<bool> acquire_lease(std::string pool);
+    boost::asio::awaitable<std::vector<placed_engine>> read_engine_states(std::string pool);
     boost::asio::awaitable<void> send_order(std::string pool, planned_order planned);
 
     boost::asio::io_context& context_;
--- a/bamboostream/src/Control/quarantine_exchange.cpp
+++ b/bamboostream/src/Control/quarantine_exchange.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-/// Requests on one server lose their connections within this time and are announced together.
-constexpr milliseconds gather_time{2};
-/// Two periods are shorter than the time an instance is given to recover from a partition.
+/// Requests on the same server lose their connections within this time and are announced together.
+constexpr milliseconds batching_delay{2};
+/// Two periods are shorter than the time allowed for recovery from a partition.
 constexpr milliseconds catch_up_period{1'000};
-/// Until the first peers are known.
-constexpr milliseconds first_catch_up{200};
+/// Delay after a start, until the first peers are known.
+constexpr milliseconds first_catch_up_delay{200};
 constexpr milliseconds answer_timeout{300};
 constexpr std::chrono::hours idle_wait{1};
 
@@ -29,7 +29,7 @@
                                          membership_service& membership,
                                          quarantine_registry& quarantine)
     : context_(context), links_(links), membership_(membership), quarantine_(quarantine),
-      due_(context), random_(stable_hash(random_id())) {}
+      evidence_added_(context), random_(stable_hash(random_id())) {}
 
 void quarantine_exchange::start() {
     asio::co_spawn(context_, announce_loop(), asio::detached);
@@ -38,15 +38,15 @@
 
 void quarantine_exchange::note(const harm_evidence& evidence) {
     unannounced_.push_back(evidence);
-    due_.cancel();
+    evidence_added_.cancel();
 }
 
 asio::awaitable<void> quarantine_exchange::announce_loop() {
     while (true) {
         if (unannounced_.empty()) {
-            co_await wait_on(due_, monotonic_now() + idle_wait);
+            co_await wait_on(evidence_added_, monotonic_now() + idle_wait);
         }
-        co_await pause_for(gather_time);
+        co_await pause_for(batching_delay);
         const std::vector<harm_evidence> evidence = std::exchange(unannounced_, {});
         if (!evidence.empty()) {
             links_.send_to_each(membership_.usable_peers(),
@@ -56,19 +56,19 @@
 }
 
 asio::awaitable<void> quarantine_exchange::catch_up_loop() {
-    co_await pause_for(first_catch_up);
+    co_await pause_for(first_catch_up_delay);
     while (true) {
         const std::vector<std::string>& peers = membership_.usable_peers();
         if (!peers.empty()) {
             const std::size_t which =
                 std::uniform_int_distribution<std::size_t>(0, peers.size() - 1)(random_);
-            co_await ask(peers[which]);
+            co_await request_evidence(peers[which]);
         }
         co_await pause_for(catch_up_period);
     }
 }
 
-asio::awaitable<void> quarantine_exchange::ask(std::string peer) {
+asio::awaitable<void> quarantine_exchange::request_evidence(std::string peer) {
     wire::HarmRequestT request;
     request.fingerprint = quarantine_.decisions().fingerprint();
     link_failure why;
--- a/bamboostream/src/Control/quarantine_exchange.h
+++ b/bamboostream/src/Control/quarantine_exchange.h
@@ -18,12 +18,12 @@
 
 namespace bamboostream {
 
-/// Keeps the evidence of all instances against requests that end backend servers the same.
+/// Replicates the evidence against requests that end backend servers to all instances.
 ///
-/// An instance announces what it finds to all others at once, since the next attempt may arrive at
-/// any of them. Besides, once a second it asks a peer, chosen at random, for what it has missed:
-/// after a start, a partition or a lost frame. While the fingerprints are equal the answer is
-/// empty. Lives on one thread.
+/// An instance announces its findings to all others at once, since the next attempt of a request
+/// may arrive at any of them. In addition, once per second it asks a randomly chosen peer for
+/// evidence that it has missed because of a start, a partition or a lost frame. The answer is empty
+/// while the fingerprints are equal. Used on one thread only.
 ///
 /// Example: `registry.on_evidence([&](const auto& it) { exchange.note(it); }); exchange.start();`
 class quarantine_exchange {
@@ -32,24 +32,24 @@
                         membership_service& membership, quarantine_registry& quarantine);
 
     void start();
-    /// Evidence that this instance has found or cleared.
+    /// Queues evidence that this instance has found or cleared for announcement.
     void note(const harm_evidence& evidence);
-    /// Takes what a peer announces or answers.
+    /// Merges evidence announced or returned by a peer.
     void hear(const wire::HarmReportT& report);
-    /// What decides of the evidence here, unless the peer that asks has the same.
+    /// The evidence that is relevant for decisions; empty if the requesting peer has the same.
     std::unique_ptr<wire::FrameT> answer(const wire::HarmRequestT& request) const;
 
 private:
     boost::asio::awaitable<void> announce_loop();
     boost::asio::awaitable<void> catch_up_loop();
-    boost::asio::awaitable<void> ask(std::string peer);
+    boost::asio::awaitable<void> request_evidence(std::string peer);
 
     boost::asio::io_context& context_;
     link_hub& links_;
     membership_service& membership_;
     quarantine_registry& quarantine_;
     std::vector<harm_evidence> unannounced_;
-    boost::asio::steady_timer due_;
+    boost::asio::steady_timer evidence_added_;
     std::mt19937_64 random_;
 };
 
--- a/bamboostream/src/Control/quarantine_service.h
+++ b/bamboostream/src/Control/quarantine_service.h
@@ -15,22 +15,23 @@
 
 namespace bamboostream {
 
-/// A run of a request whose connection to its backend server broke.
+/// An attempt of a request whose connection to its backend server broke.
 struct lost_attempt {
     request_digest request;
     std::string workspace;
     backend_id server;
-    /// The server's start stamp when the request was sent; zero when it wasn't known.
+    /// The server's start stamp when the request was sent; zero if unknown.
     wall_time start_stamp = 0;
-    /// The server had begun to answer.
+    /// The server had begun to respond.
     bool answering = false;
 };
 
-/// Refuses requests that end the backend servers which run them, in an instance that serves the
-/// product's own interface. Lives on the control thread.
+/// Quarantines requests that end the backend servers which run them, for instances that serve the
+/// product's own interface. Runs on the control thread.
 ///
-/// Guarantees: all instances that can reach each other refuse the same requests, an instance that
-/// has just started within a second. What is held is not kept beyond the end of all instances.
+/// All instances that can reach each other refuse the same requests; an instance that has just
+/// started does so within a second. The quarantine is not persistent: it is lost when all instances
+/// stop.
 ///
 /// Example: `if (quarantine.any() && quarantine.holds(digest)) refuse();`
 class quarantine_service {
@@ -39,27 +40,28 @@
                        membership_service& membership);
 
     void start();
-    /// Whether there is any evidence: while there is none, no request needs a digest.
+    /// True if there is any evidence. While there is none, digests need not be computed.
     bool any() const { return registry_.any(); }
+    /// True if the request is quarantined.
     bool holds(const request_digest& request) const { return registry_.holds(request); }
-    /// How much longer a held request is refused.
+    /// How much longer a quarantined request is refused.
     milliseconds held_for(const request_digest& request) const;
-    /// The start stamp of a backend server, as far as it is known; zero otherwise.
+    /// The start stamp of a backend server; zero if unknown.
     wall_time start_stamp_of(const backend_id& server) const;
-    /// Whether an answer to a request of so many bytes is worth its digest.
+    /// Whether a response to a request of this size is worth computing its digest.
     bool wants_answer(std::size_t request_bytes) const {
         return registry_.wants_answer(request_bytes);
     }
-    /// A backend server has run the request and survived.
+    /// Records that a backend server has run the request without ending.
     void note_answer(const request_digest& request);
-    /// Finds out whether the server has ended, which speaks against the request unless the server
-    /// was known to leave. As long as `server_check::check` takes.
+    /// Checks whether the server has ended and, unless it was known to be leaving, records that as
+    /// evidence against the request. Takes as long as `server_check::check`.
     boost::asio::awaitable<void> examine(lost_attempt run);
 
     void hear(const wire::HarmReportT& report) { exchange_.hear(report); }
     std::unique_ptr<wire::FrameT> answer(const wire::HarmRequestT& request) const;
     const request_quarantine& decisions() const { return registry_.decisions(); }
-    /// Backend servers found ended by this instance.
+    /// Number of backend servers that this instance found ended.
     std::uint64_t ended_servers() const { return checks_.ended_servers(); }
 
 private:
--- a/bamboostream/src/Control/scheduling_service.cpp
+++ b/bamboostream/src/Control/scheduling_service.cpp
@@ -15,18 +15,20 @@
 namespace {
 
 constexpr milliseconds dispatch_period{5};
-/// Ends are reported at once, token counts less often: they cost bytes for each open stream.
+/// Ends are reported promptly. Token counts are reported less often, since they cost bytes for each
+/// open stream.
 constexpr milliseconds ends_period{10};
-constexpr int periods_a_token_report = 25;
-/// How long a scheduler holds a question before it answers "still waiting", and how long the one
-/// who asked waits for any answer before it turns to the next candidate.
-constexpr milliseconds hold_question{700};
+constexpr int periods_per_token_report = 25;
+/// How long a scheduler holds a request before it answers "still waiting", and how long the
+/// requesting instance waits for any answer before it asks the next candidate.
+constexpr milliseconds request_hold_time{700};
 constexpr milliseconds answer_timeout{1'100};
-/// A scheduler that did not answer is passed over for this long.
-constexpr seconds passed_over{2};
-constexpr seconds local_use{3};
-constexpr std::size_t most_undelivered = 50'000;
-constexpr std::size_t schedulers_a_pool = 2;
+/// A scheduler that did not answer is skipped for this long.
+constexpr seconds skip_duration{2};
+/// After a request, the local scheduler of a pool counts as in use for this long.
+constexpr seconds local_use_duration{3};
+constexpr std::size_t max_undelivered = 50'000;
+constexpr std::size_t schedulers_per_pool = 2;
 
 std::string pool_role(std::string_view pool) {
     return "pool:" + std::string(pool);
@@ -45,13 +47,13 @@
     membership_.set_watch_filter([this](std::string_view pool) {
         const auto known = pools_.find(pool);
         const bool used = known != pools_.end() && monotonic_now() < known->second.used_until;
-        const auto owners = membership_.owners(pool_role(pool), schedulers_a_pool);
+        const auto owners = membership_.owners(pool_role(pool), schedulers_per_pool);
         return used ||
                std::find(owners.begin(), owners.end(), membership_.own_address()) != owners.end();
     });
     membership_.on_status([this](const backend_facts& backend, const engine_status& status) {
         if (backend.kind == backend_kind::engine && status.load.capacity_tokens > 0) {
-            pool_scheduler& scheduler = *local(backend.group).scheduler;
+            pool_scheduler& scheduler = *find_or_create(backend.group).scheduler;
             scheduler.add_engine(backend.id, backend.failure_domain);
             const bool may_get_work = membership_.backends().may_get_work(backend.id.text());
             scheduler.set_engine_usable(backend.id.text(), may_get_work && !is_cordoned(backend));
@@ -102,7 +104,7 @@
     return backend.state == backend_state::live && !is_cordoned(backend);
 }
 
-scheduling_service::local_pool& scheduling_service::local(const std::string& name) {
+scheduling_service::local_pool& scheduling_service::find_or_create(const std::string& name) {
     local_pool& pool = pools_[name];
     if (!pool.scheduler) {
         const auto document = configuration_.document();
@@ -132,9 +134,9 @@
 
 std::vector<std::string> scheduling_service::candidates(std::string_view pool) const {
     std::vector<std::string> out;
-    for (const std::string& owner : membership_.owners(pool_role(pool), schedulers_a_pool)) {
-        const auto silent = silent_until_.find(owner);
-        if (silent == silent_until_.end() || silent->second < monotonic_now()) {
+    for (const std::string& owner : membership_.owners(pool_role(pool), schedulers_per_pool)) {
+        const auto silent = skipped_until_.find(owner);
+        if (silent == skipped_until_.end() || silent->second < monotonic_now()) {
             out.push_back(owner);
         }
     }
@@ -144,32 +146,33 @@
 asio::awaitable<place_decision> scheduling_service::acquire(std::string pool,
                                                             place_request request) {
     while (true) {
-        const std::vector<std::string> ask = candidates(pool);
-        // A leaving instance owns nothing, but what it accepted it still places.
-        const bool alone = ask.empty();
-        if (alone || ask.front() == membership_.own_address()) {
-            pool_scheduler& scheduler = *local(pool).scheduler;
+        const std::vector<std::string> reachable_schedulers = candidates(pool);
+        // A leaving instance owns no pool, but still places the requests that it has accepted.
+        const bool alone = reachable_schedulers.empty();
+        if (alone || reachable_schedulers.front() == membership_.own_address()) {
+            pool_scheduler& scheduler = *find_or_create(pool).scheduler;
             const auto instances = static_cast<double>(membership_.members().usable().size());
             scheduler.set_capacity_share(alone ? 1.0 / std::max(instances, 1.0) : 1.0);
-            auto decision = co_await ask_local(pool, request, monotonic_now() + answer_timeout);
+            auto decision = co_await request_local(pool, request, monotonic_now() + answer_timeout);
             if (decision) {
                 co_return *decision;
             }
             continue;
         }
         bool answered = false;
-        auto decision = co_await ask_remote(ask.front(), pool, request, answered);
+        auto decision =
+            co_await request_remote(reachable_schedulers.front(), pool, request, answered);
         if (decision) {
             co_return *decision;
         }
         if (!answered) {
-            silent_until_[ask.front()] = monotonic_now() + passed_over;
+            skipped_until_[reachable_schedulers.front()] = monotonic_now() + skip_duration;
         }
     }
 }
 
 asio::awaitable<std::optional<place_decision>>
-scheduling_service::ask_local(std::string pool, place_request request, time_point until) {
+scheduling_service::request_local(std::string pool, place_request request, time_point until) {
     const std::uint64_t id = request.id;
     const auto late = undelivered_.find(id);
     if (late != undelivered_.end()) {
@@ -177,8 +180,8 @@
         undelivered_.erase(late);
         co_return decision;
     }
-    local_pool& own = local(pool);
-    own.used_until = monotonic_now() + local_use;
+    local_pool& own = find_or_create(pool);
+    own.used_until = monotonic_now() + local_use_duration;
     if (auto decided = own.scheduler->submit(request, monotonic_now())) {
         co_return decided;
     }
@@ -198,8 +201,8 @@
 }
 
 asio::awaitable<std::optional<place_decision>>
-scheduling_service::ask_remote(std::string owner, std::string pool, const place_request& request,
-                               bool& answered) {
+scheduling_service::request_remote(std::string owner, std::string pool,
+                                   const place_request& request, bool& answered) {
     wire::AdmitRequestT message;
     message.request = request.id;
     message.pool = pool;
@@ -249,8 +252,9 @@
     wire::AdmitReplyT reply;
     reply.waiting = true;
     if (configuration_.document()->pools.contains(message.pool)) {
-        local(message.pool).scheduler->set_capacity_share(1.0);
-        const auto decision = co_await ask_local(message.pool, request, now + hold_question);
+        find_or_create(message.pool).scheduler->set_capacity_share(1.0);
+        const auto decision =
+            co_await request_local(message.pool, request, now + request_hold_time);
         if (decision) {
             reply.waiting = false;
             reply.granted = decision->granted;
@@ -267,7 +271,7 @@
     if (waiting != waiters_.end()) {
         waiting->second->decision = decision;
         waiting->second->decided.cancel();
-    } else if (undelivered_.size() < most_undelivered) {
+    } else if (undelivered_.size() < max_undelivered) {
         undelivered_[decision.id] = decision;
     }
 }
@@ -280,7 +284,7 @@
                 deliver(decision);
             }
         }
-        if (undelivered_.size() >= most_undelivered) {
+        if (undelivered_.size() >= max_undelivered) {
             undelivered_.clear();
         }
     }
@@ -304,16 +308,16 @@
     for (auto& [id, stream] : streams_) {
         const std::uint32_t end = stream.progress->finished;
         const std::uint32_t tokens = stream.progress->tokens;
-        const bool first_token = tokens > 0 && stream.told_tokens == 0;
+        const bool first_token = tokens > 0 && stream.reported_tokens == 0;
         if (end == 0 && !all && !first_token) {
             continue;
         }
-        stream.told_tokens = tokens;
+        stream.reported_tokens = tokens;
         const std::vector<std::string> to = candidates(stream.pool);
         const std::string owner = to.empty() ? membership_.own_address() : to.front();
         wire::ProgressT& report = reports[owner][stream.pool];
         report.pool = stream.pool;
-        if (stream.told_to != owner) {
+        if (stream.reported_to != owner) {
             auto fact = std::make_unique<wire::RunningFactT>();
             fact->request = id;
             fact->workspace = stream.facts.workspace;
@@ -322,7 +326,7 @@
             fact->prompt_tokens = stream.facts.prompt_tokens;
             fact->tokens = tokens;
             report.introduced.push_back(std::move(fact));
-            stream.told_to = owner;
+            stream.reported_to = owner;
         }
         report.entries.push_back(wire::ProgressEntry(id, tokens, static_cast<std::uint8_t>(end)));
         if (end != 0) {
@@ -348,7 +352,7 @@
         return;
     }
     const time_point now = monotonic_now();
-    pool_scheduler& scheduler = *local(progress.pool).scheduler;
+    pool_scheduler& scheduler = *find_or_create(progress.pool).scheduler;
     for (const auto& fact : progress.introduced) {
         scheduler.on_progress({fact->request, fact->workspace, fact->backend, fact->kind,
                                fact->prompt_tokens, fact->tokens},
@@ -372,7 +376,7 @@
     int period = 0;
     while (true) {
         co_await pause_for(ends_period);
-        report_progress(++period % periods_a_token_report == 0);
+        report_progress(++period % periods_per_token_report == 0);
     }
 }
 
--- a/bamboostream/src/Control/scheduling_service.h
+++ b/bamboostream/src/Control/scheduling_service.h
@@ -21,37 +21,41 @@
 struct ProgressT;
 } // namespace wire
 
-/// A generation this instance streams, as its pool's scheduler must know it.
+/// A generation streamed by this instance, with the data that its pool's scheduler needs.
 struct streamed_generation {
     running_facts facts;
     std::string pool;
     std::shared_ptr<relay_progress> progress;
-    /// The scheduler that knows of it.
-    std::string told_to;
-    std::uint32_t told_tokens = 0;
+    /// Address of the scheduler that it was last reported to.
+    std::string reported_to;
+    std::uint32_t reported_tokens = 0;
 };
 
-/// Finds places for requests: asks the instance that owns the pool, answers others for the pools
-/// this instance owns, and reports what the streams here have served. When neither the owner nor
-/// its deputy answers, this instance decides alone over its share of every engine.
+/// Places requests on engines: asks the instance that owns the pool, answers other instances for
+/// the pools that this instance owns, and reports the progress of the streams here. If neither the
+/// owner nor its standby answers, this instance schedules its own share of each engine. Runs on the
+/// control thread.
 class scheduling_service {
 public:
     scheduling_service(boost::asio::io_context& context, configuration_service& configuration,
                        membership_service& membership, link_hub& links, std::uint64_t seed);
 
     void start();
-    /// Waits for a place for `request` in `pool`, until granted or refused.
+    /// Requests a place in `pool` and waits until it is granted or refused.
     boost::asio::awaitable<place_decision> acquire(std::string pool, place_request request);
-    /// A stream begins on a granted place.
+    /// Records that a stream begins on a granted place.
     void stream_started(streamed_generation generation);
-    /// It ended; `place` is the id of the place request.
+    /// Records that a stream ended; `place` is the id of its place request.
     void stream_ended(std::uint64_t place, generation_end end);
 
+    /// Answers another instance's request for a place; after 700 ms with "still waiting".
     boost::asio::awaitable<std::unique_ptr<wire::FrameT>>
     handle_admit(const wire::AdmitRequestT& request);
+    /// Passes the progress of another instance's streams to the pool's scheduler.
     void handle_progress(const wire::ProgressT& progress);
     /// The scheduler of a pool on this instance, or null.
     const pool_scheduler* find(std::string_view pool) const;
+    /// Whether this instance is the first owner of the pool.
     bool owns(std::string_view pool) const;
 
 private:
@@ -62,22 +66,23 @@
     };
     struct local_pool {
         std::unique_ptr<pool_scheduler> scheduler;
-        /// Until when requests come here although another instance owns the pool.
+        /// Until when this scheduler is in use, also if another instance owns the pool.
         time_point used_until{};
     };
 
-    local_pool& local(const std::string& pool);
+    local_pool& find_or_create(const std::string& pool);
     void configure(const std::string& name, pool_scheduler& scheduler) const;
     boost::asio::awaitable<std::optional<place_decision>>
-    ask_local(std::string pool, place_request request, time_point until);
+    request_local(std::string pool, place_request request, time_point until);
     boost::asio::awaitable<std::optional<place_decision>>
-    ask_remote(std::string owner, std::string pool, const place_request& request, bool& answered);
+    request_remote(std::string owner, std::string pool, const place_request& request,
+                   bool& answered);
     boost::asio::awaitable<void> dispatch_loop();
     boost::asio::awaitable<void> progress_loop();
     void deliver(const place_decision& decision);
     void report_progress(bool all);
     bool is_cordoned(const backend_facts& backend) const;
-    /// Whether an engine may get new work: it is live and its failure domain in service.
+    /// Whether an engine may get new work: it is live and its failure domain is not cordoned.
     bool takes_work(const backend_facts& backend) const;
     void reconfigure();
     std::vector<std::string> candidates(std::string_view pool) const;
@@ -91,7 +96,7 @@
     std::unordered_map<std::uint64_t, std::shared_ptr<waiter>> waiters_;
     std::unordered_map<std::uint64_t, place_decision> undelivered_;
     std::unordered_map<std::uint64_t, streamed_generation> streams_;
-    std::unordered_map<std::string, time_point> silent_until_;
+    std::unordered_map<std::string, time_point> skipped_until_;
 };
 
 } // namespace bamboostream
--- a/bamboostream/src/Membership/backend_registry.cpp
+++ b/bamboostream/src/Membership/backend_registry.cpp
@@ -11,29 +11,29 @@
     if (known && backend.started_ms < found->second.backend.started_ms) {
         return;
     }
-    registered_backend heard = backend;
-    heard.leaving = heard.leaving || has_left(backend);
+    registered_backend received = backend;
+    received.leaving = received.leaving || has_announced_leaving(backend);
     if (!known) {
-        backends_.emplace(backend.id, record{heard, std::nullopt});
-        changes_.push_back({registry_event::joined, heard});
+        backends_.emplace(backend.id, record{received, std::nullopt});
+        changes_.push_back({registry_event::joined, received});
     } else {
         const bool restarted = backend.started_ms > found->second.backend.started_ms;
         if (found->second.removal_due) {
-            changes_.push_back({registry_event::kept, heard});
+            changes_.push_back({registry_event::kept, received});
         }
-        found->second = {heard, std::nullopt};
+        found->second = {received, std::nullopt};
         if (restarted) {
-            changes_.push_back({registry_event::restarted, heard});
+            changes_.push_back({registry_event::restarted, received});
         }
     }
-    if (heard.leaving) {
+    if (received.leaving) {
         mark_leaving(backend.id, backend.started_ms);
     }
 }
 
-bool backend_registry::has_left(const registered_backend& backend) const {
-    const auto found = left_.find(backend.id);
-    return found != left_.end() && backend.started_ms <= found->second;
+bool backend_registry::has_announced_leaving(const registered_backend& backend) const {
+    const auto found = leaving_starts_.find(backend.id);
+    return found != leaving_starts_.end() && backend.started_ms <= found->second;
 }
 
 void backend_registry::mark_leaving(const backend_id& id) {
@@ -46,7 +46,7 @@
     if (found != backends_.end() && started_ms < found->second.backend.started_ms) {
         return;
     }
-    const auto [left, added] = left_.try_emplace(id, started_ms);
+    const auto [left, added] = leaving_starts_.try_emplace(id, started_ms);
     const bool first = added || left->second < started_ms;
     left->second = std::max(left->second, started_ms);
     if (found == backends_.end()) {
@@ -58,7 +58,7 @@
     }
 }
 
-bool backend_registry::removals_wait(time_point now) const {
+bool backend_registry::removals_deferred(time_point now) const {
     return store_away_ || (store_returned_ && now < *store_returned_ + return_grace);
 }
 
@@ -67,7 +67,7 @@
     if (found == backends_.end()) {
         return;
     }
-    if (removals_wait(now) && !found->second.backend.leaving) {
+    if (removals_deferred(now) && !found->second.backend.leaving) {
         if (!found->second.removal_due) {
             changes_.push_back({registry_event::lapsed, found->second.backend});
         }
@@ -188,9 +188,10 @@
 }
 
 std::vector<registered_backend> backend_registry::page_after(const backend_id& after,
-                                                             std::size_t most) const {
+                                                             std::size_t limit) const {
     std::vector<registered_backend> out;
-    for (auto it = backends_.upper_bound(after); it != backends_.end() && out.size() < most; ++it) {
+    for (auto it = backends_.upper_bound(after); it != backends_.end() && out.size() < limit;
+         ++it) {
         out.push_back(it->second.backend);
     }
     return out;
--- a/bamboostream/src/Membership/backend_registry.h
+++ b/bamboostream/src/Membership/backend_registry.h
@@ -14,90 +14,104 @@
 
 namespace bamboostream {
 
-/// A backend server as it registered itself. It may start again under the id that it had.
+/// A backend server as it registered itself. A server that restarts may keep its id.
 struct registered_backend {
     backend_id id;
-    /// When it started, in milliseconds since 1970 by its own clock; zero when it doesn't say. It
-    /// is compared with other starts of the same id only, never with a clock here.
+    /// Start time in milliseconds since 1970 by the server's own clock; zero if not reported.
+    /// Compared only with other start times of the same id, never with a local clock.
     std::int64_t started_ms = 0;
     std::string address;
     service_id service;
     failure_domain_id failure_domain;
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     int slots = 1;
     bool leaving = false;
-    /// It is cold until then: slow, and bears few requests a second.
+    /// The server is cold until then: it is slow and handles only few requests per second.
     time_point slow_until{};
 };
 
-/// A change that callers of the registry may want to log or act on.
-/// After `restarted` the server remembers nothing of before. `lapsed`: its entry is missing, and
-/// whether that holds is waited for; `kept`: the entry is there again.
+/// Kind of change that callers of the registry may want to log or act on.
+/// `restarted`: the server has lost all state of its previous process. `lapsed`: its entry is
+/// missing, and the removal is deferred until it is confirmed. `kept`: the missing entry is present
+/// again.
 enum class registry_event : std::uint8_t { joined, leaving, gone, restarted, lapsed, kept };
+/// One change together with the server's record after it; for `gone`, the last known record.
 struct registry_change {
     registry_event event = registry_event::joined;
     registered_backend backend;
 };
 
-/// A server as another instance lists it.
+/// A backend server as listed by another instance.
 struct peer_backend {
     registered_backend backend;
-    /// The store has no entry of it any more; the other instance waits for one.
+    /// The store no longer has an entry for it, and the other instance has deferred its removal.
     bool lapsed = false;
 };
 
-/// The backend servers that registered in the platform's store.
+/// The backend servers that are registered in the platform's store.
 ///
-/// Leaving is sticky for one life of a server: the store may repeat an older entry after a gap in
-/// its history, and a request that then reaches a server that leaves is cut. Removal is believed at
-/// once while the store answers. While the store is away entries lapse although their servers live,
-/// so removals are put off until the servers have had time to register again after its return.
+/// Leaving is permanent for one process of a server: the store may repeat an older entry after a
+/// gap in its history, and a request sent to a leaving server on that basis would be aborted.
+///
+/// Removals take effect immediately while the store is available. During a store outage entries
+/// expire even though their servers are alive, so removals are deferred until the servers have had
+/// time to register again after the outage.
+///
+/// Not thread-safe.
 class backend_registry {
 public:
-    /// Servers that live are registered again about two seconds after the store's return.
+    /// How long removals stay deferred after a store outage. Live servers have registered again
+    /// about two seconds after the store's return.
     static constexpr milliseconds return_grace{2'500};
-    /// The store counts as away when no instance that is heard of knows what it says for so long.
-    /// Not shorter: until the substitutes of those that read for all have read, some 0.7 s pass
-    /// though the store is well. An instance that took its own outage for the store's put the
-    /// removal of a server off, and requests reached it 3.1 s after it had gone. Not longer: an
-    /// entry lapses after three of its heartbeats, each of 1.2 s, have failed.
+    /// The store is considered unavailable once no known instance has had a current view of it for
+    /// this long.
+    ///
+    /// A shorter time would report outages of a healthy store: when the instances that read it for
+    /// all others fail, about 0.7 s pass until their standbys have read it. An instance that
+    /// mistook its own outage for one of the store deferred the removal of a server, and requests
+    /// were sent to that server until 3.1 s after it was gone. A longer time would be too late: an
+    /// entry expires after three failed heartbeats of 1.2 s each.
     static constexpr milliseconds min_outage{1'000};
 
-    /// An entry from the store.
+    /// Adds or updates a server from its store entry. Entries of an earlier start are ignored.
     void update(const registered_backend& backend, time_point now);
-    /// The store says that the entry was removed.
+    /// Handles the removal of an entry from the store. The removal is deferred during and shortly
+    /// after a store outage, unless the server was leaving.
     void remove(const backend_id& id, time_point now);
-    /// All entries at one moment; those that are missing count as removed. `unreadable` names
-    /// entries that are there and say nothing; what is known of such a server stays.
+    /// Replaces the registry by a complete listing; servers that are missing count as removed.
+    /// `unreadable` lists ids whose entries exist but can't be parsed; those servers are left as
+    /// they are.
     void update_all(std::span<const registered_backend> entries,
                     std::span<const backend_id> unreadable, time_point now);
-    /// Entries as another instance believes them that knows more than this one. What lapsed there
-    /// is no reason to list a server that isn't listed here, unless nothing is.
+    /// Replaces the registry by the listing of another instance with a newer view. An entry that
+    /// lapsed there does not add a server here, unless this registry is empty.
     void update_from_peer(std::span<const peer_backend> entries, time_point now);
-    /// Another instance believes that the server is gone.
+    /// Removes a server at once, because another instance reported it gone.
     void forget(const backend_id& id);
-    /// The server itself or another instance says that it leaves.
+    /// Records that the server is leaving, as reported by itself or by another instance.
     void mark_leaving(const backend_id& id);
-    /// The same of the life that began at `started_ms`; a later one isn't concerned.
+    /// As above for the process that started at `started_ms`; has no effect on a later one.
     void mark_leaving(const backend_id& id, std::int64_t started_ms);
+    /// Records that the store is unavailable, which defers removals.
     void store_failed(time_point now);
+    /// Records that the store is available; deferred removals are due `return_grace` after its
+    /// return.
     void store_answered(time_point now);
     bool store_away() const { return store_away_; }
-    /// Carries out removals that were put off and are due.
+    /// Performs deferred removals that are due. Does nothing while the store is away.
     void expire(time_point now);
 
-    /// Failure domains whose servers get no new work, whatever their entries say. Replaces those of
-    /// before.
+    /// Sets the failure domains whose servers get no new work regardless of their entries.
+    /// Replaces the previous set.
     void set_cordoned(std::set<failure_domain_id> domains) { cordoned_ = std::move(domains); }
     const std::set<failure_domain_id>& cordoned() const { return cordoned_; }
-    /// Whether the server may get new work: it is listed, doesn't leave, and its failure domain
-    /// isn't cordoned.
+    /// True if the server is listed, is not leaving, and its failure domain is not cordoned.
     bool takes_work(const backend_id& id) const;
-    /// Servers of a service that may get new work. The views last until the next change.
+    /// Servers of a service that may get new work. The pointers are valid until the next change.
     std::vector<const registered_backend*> usable(const service_id& service) const;
-    /// Whether the server is still listed, leaving or not; null when it isn't.
+    /// The server's record, whether or not it is leaving; null if it is not listed.
     const registered_backend* find(const backend_id& id) const;
-    /// The first listed server for which `predicate` holds; null when there is none.
+    /// The first listed server that satisfies `predicate`, or null.
     template <class Predicate> const registered_backend* find_if(Predicate predicate) const {
         for (const auto& [id, known] : backends_) {
             if (predicate(known.backend)) {
@@ -107,11 +121,12 @@
         return nullptr;
     }
     std::vector<registered_backend> all() const;
-    /// The first `most` behind `after`, in the order of their ids.
-    std::vector<registered_backend> page_after(const backend_id& after, std::size_t most) const;
-    /// Whether its entry is missing and waited for.
+    /// At most `limit` servers with ids greater than `after`, ordered by id.
+    std::vector<registered_backend> page_after(const backend_id& after, std::size_t limit) const;
+    /// True if the server's entry is missing and its removal is deferred.
     bool has_lapsed(const backend_id& id) const;
     bool empty() const { return backends_.empty(); }
+    /// Returns the changes since the last call.
     std::vector<registry_change> take_changes();
 
 private:
@@ -120,18 +135,18 @@
         std::optional<time_point> removal_due;
     };
     bool takes_work(const registered_backend& backend) const;
-    bool removals_wait(time_point now) const;
-    /// Whether this life of the server has said that it leaves.
-    bool has_left(const registered_backend& backend) const;
+    bool removals_deferred(time_point now) const;
+    /// True if this process of the server, or a later one, has announced that it is leaving.
+    bool has_announced_leaving(const registered_backend& backend) const;
     void erase(const backend_id& id);
-    /// Known servers that aren't among those listed.
+    /// Known servers that are not in `listed`.
     std::vector<backend_id> missing_from(const std::set<backend_id>& listed) const;
 
     std::map<backend_id, record> backends_;
-    /// Servers that said they leave, with the start of the life that does; kept after their entries
-    /// are gone. A later life of the same id is sound: were leaving to stick to the id alone, an
-    /// engine that started again would stand idle for good.
-    std::map<backend_id, std::int64_t> left_;
+    /// Start time of the leaving process by server id; kept after the entries are gone. A process
+    /// that started later under the same id is usable: if leaving applied to the id alone, a
+    /// restarted engine would never get work again.
+    std::map<backend_id, std::int64_t> leaving_starts_;
     std::set<failure_domain_id> cordoned_;
     std::vector<registry_change> changes_;
     bool store_away_ = false;
--- a/bamboostream/src/Membership/backend_table.cpp
+++ b/bamboostream/src/Membership/backend_table.cpp
@@ -5,7 +5,7 @@
 namespace bamboostream {
 
 namespace {
-/// Two polls, so that one lost packet does not take a server out.
+/// Two polls, so that a single lost packet does not mark a server as down.
 constexpr int failed_polls_until_down = 2;
 } // namespace
 
@@ -32,7 +32,7 @@
         }
         r.facts.group = facts.group;
         r.facts.failure_domain = facts.failure_domain;
-        // The list may say leaving first; it may not take leaving back.
+        // The list may be the first to report leaving, but it never revokes it.
         if (facts.state == backend_state::leaving &&
             (facts.start_stamp == 0 || facts.start_stamp == r.facts.start_stamp)) {
             set_state(r, backend_state::leaving);
--- a/bamboostream/src/Membership/directory.cpp
+++ b/bamboostream/src/Membership/directory.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double full_load = 1000.0;
-constexpr double least_weight = 0.05;
+constexpr double min_weight = 0.05;
 
 struct ranked_member {
     const member_facts* facts;
@@ -16,10 +16,10 @@
     double rank;
 };
 
-/// Exponential ranks give a random order in which a member with twice the free share comes first
-/// twice as often.
+/// Sorting by exponentially distributed ranks gives a weighted random order: a member with twice
+/// the free capacity comes first twice as often.
 double random_rank(const member_facts& facts, std::mt19937_64& random) {
-    const double free = std::max(least_weight, 1.0 - facts.busy_permille / full_load);
+    const double free = std::max(min_weight, 1.0 - facts.busy_permille / full_load);
     return std::exponential_distribution<double>(free)(random);
 }
 
@@ -29,7 +29,7 @@
                                        std::mt19937_64& random) {
     std::vector<member_facts> offered = members.usable();
     if (offered.empty()) {
-        // Everyone is leaving or suspect: an address that may fail beats none.
+        // All members are leaving or suspect: an address that may fail is better than none.
         offered = members.others();
         offered.push_back(members.self());
     }
--- a/bamboostream/src/Membership/directory.h
+++ b/bamboostream/src/Membership/directory.h
@@ -15,18 +15,19 @@
     failure_domain_id failure_domain;
 };
 
-/// The answer to "which of your addresses should I use".
+/// The instances a caller should connect to, in order of preference, and how long this holds.
 struct directory_answer {
     std::vector<directory_entry> entries;
     milliseconds valid_for{0};
 };
 
-/// How long callers may keep an answer. A leaving instance accepts until then.
+/// How long callers may cache an answer. A leaving instance accepts requests for this long.
 inline constexpr milliseconds directory_validity{2'000};
 
-/// Orders the usable members for one caller: the caller's failure domain first, and inside each
-/// group a random order weighted by what each has free, so that a rush that asks one instance
-/// spreads over all. Never empty while a member that isn't gone exists.
+/// Orders the usable members for one caller: members of the caller's failure domain first, and
+/// within each group randomly, weighted by free capacity, so that a burst of callers that ask the
+/// same instance is spread over all of them. When no member is usable, all that are not gone are
+/// returned.
 directory_answer make_directory_answer(const member_table& members, std::string_view near_domain,
                                        std::mt19937_64& random);
 
--- a/bamboostream/src/Membership/member_table.cpp
+++ b/bamboostream/src/Membership/member_table.cpp
@@ -11,30 +11,32 @@
 
 namespace {
 
-/// A pause between two periods that is this many periods long means this process was frozen.
-constexpr int frozen_periods = 3;
-/// How often a fact is told, in powers of two of the members. A change of a known member has to
-/// reach everyone by rumours; one that joins is also in the parts of the whole that joining members
-/// exchange, and when all start together each fact told costs instances squared.
-constexpr std::uint32_t rounds_of_a_change = 3;
-constexpr std::uint32_t rounds_of_a_join = 1;
-constexpr std::size_t fewest_failures_to_suspect_self = 3;
-constexpr milliseconds longest_self_suspicion{6'000};
-
-/// Whether `heard` replaces `known` about the same life of the same instance.
-bool supersedes(const member_facts& heard, const member_facts& known) {
-    if (heard.incarnation != known.incarnation) {
-        return heard.incarnation > known.incarnation;
-    }
-    return heard.state > known.state;
+/// A gap of more than this many probe periods between two calls means that this process was
+/// suspended.
+constexpr int suspension_periods = 3;
+/// Number of transmissions of a fact, as a multiple of log2 of the number of members. A change of a
+/// known member reaches all others by gossip only. A new member is also contained in the set
+/// exchange between members that differ, and when all instances start together each transmission
+/// of a fact costs messages quadratic in their number.
+constexpr std::uint32_t change_retransmit_factor = 3;
+constexpr std::uint32_t join_retransmit_factor = 1;
+constexpr std::size_t min_failures_to_suspect_self = 3;
+constexpr milliseconds max_self_suspicion{6'000};
+
+/// True if `received` replaces `known`; both describe the same process of the same instance.
+bool supersedes(const member_facts& received, const member_facts& known) {
+    if (received.incarnation != known.incarnation) {
+        return received.incarnation > known.incarnation;
+    }
+    return received.state > known.state;
 }
 
 std::uint32_t key_of(const instance_id& id) {
     return static_cast<std::uint32_t>(stable_hash({id.address, std::to_string(id.start_stamp)}));
 }
 
-/// Keys as wide as a summary, so that their sum tells sets apart.
-std::uint64_t spread(std::uint32_t key) {
+/// Widens a key to the width of a summary, so that the XOR over a set distinguishes sets.
+std::uint64_t hash_key(std::uint32_t key) {
     return stable_hash(std::string_view(reinterpret_cast<const char*>(&key), sizeof key));
 }
 
@@ -52,15 +54,14 @@
     }
 }
 
-void member_table::reshuffle() {
+void member_table::refill_probe_order() {
     probe_order_.clear();
     for (const auto& [address, r] : members_) {
         if (r.facts.state != liveness::gone) {
             probe_order_.push_back(address);
         }
     }
-    // Addresses that the platform lists but that never answered, or are gone, are still asked now
-    // and then: they may have (re)started.
+    // Also probe listed addresses that never answered or are gone: they may have (re)started.
     for (const std::string& address : seeds_) {
         const auto known = members_.find(address);
         if (known == members_.end() || known->second.facts.state == liveness::gone) {
@@ -71,18 +72,18 @@
 }
 
 std::vector<std::string> member_table::choose_probes(time_point now) {
-    // A process that was frozen finds all its probes timed out at once. Accusing its peers would
-    // empty its directory, so failures count again only after a quiet second.
+    // After this process was suspended, all its pending probes time out at once. Marking the peers
+    // as suspect would empty its directory, so failed probes are ignored for one second.
     if (last_period_ != time_point{} &&
-        now - last_period_ > frozen_periods * timing_.probe_period) {
+        now - last_period_ > suspension_periods * timing_.probe_period) {
         grace_until_ = now + seconds(1);
     }
     last_period_ = now;
     joined_before_ = std::exchange(joined_, 0);
     std::vector<std::string> chosen;
-    while (chosen.size() < timing_.probes_a_period) {
+    while (chosen.size() < timing_.probes_per_period) {
         if (probe_order_.empty()) {
-            reshuffle();
+            refill_probe_order();
             if (probe_order_.empty() || !chosen.empty()) {
                 break;
             }
@@ -105,12 +106,13 @@
     return candidates;
 }
 
-/// Counts failures in a row. When several members fail with no answer in between, the likelier
-/// failure is this instance's own network: those just accused are cleared again. Lasting failure
-/// is believed after all, or the sole survivor of a mass death would offer the dead for ever.
-void member_table::note_result(std::string_view address, bool answered, time_point now) {
+/// Counts consecutive failures. When several members fail with no answer in between, the failure is
+/// likelier in this instance's own network, and the members just marked as suspect are live again.
+/// If the failures last, they are accepted after all; otherwise the only survivor of a failure of
+/// all others would keep them in its directory forever.
+void member_table::record_probe_result(std::string_view address, bool answered, time_point now) {
     if (answered) {
-        failed_in_a_row_.clear();
+        consecutive_failures_.clear();
         suspects_itself_ = false;
         return;
     }
@@ -118,19 +120,19 @@
     if (known == members_.end() || known->second.facts.state == liveness::gone) {
         return;
     }
-    if (failed_in_a_row_.empty()) {
+    if (consecutive_failures_.empty()) {
         failing_since_ = now;
     }
-    failed_in_a_row_.insert(std::string(address));
-    const bool many = failed_in_a_row_.size() >= fewest_failures_to_suspect_self;
+    consecutive_failures_.insert(std::string(address));
+    const bool many = consecutive_failures_.size() >= min_failures_to_suspect_self;
     const bool was = suspects_itself_;
-    suspects_itself_ = many && now - failing_since_ < longest_self_suspicion;
+    suspects_itself_ = many && now - failing_since_ < max_self_suspicion;
     if (suspects_itself_ && !was) {
-        for (const std::string& accused : failed_in_a_row_) {
+        for (const std::string& accused : consecutive_failures_) {
             const auto r = members_.find(accused);
             if (r != members_.end() && r->second.facts.state == liveness::suspect) {
                 r->second.facts.state = liveness::live;
-                r->second.tellings_left = 0;
+                r->second.retransmits_left = 0;
                 ++revision_;
             }
         }
@@ -138,19 +140,19 @@
 }
 
 void member_table::probe_answered(std::string_view address, time_point now) {
-    note_result(address, true, now);
+    record_probe_result(address, true, now);
     const auto found = members_.find(address);
     if (found != members_.end() && found->second.facts.state == liveness::suspect) {
-        // The answer carries the member's own facts, merged just before; a suspicion of an older
-        // incarnation is over.
+        // The member's own facts were in the answer and have just been merged, so a suspicion of an
+        // older incarnation is refuted.
         found->second.facts.state = liveness::live;
-        tell(found->second, rounds_of_a_change);
+        schedule_retransmits(found->second, change_retransmit_factor);
         ++revision_;
     }
 }
 
 void member_table::probe_failed(std::string_view address, time_point now) {
-    note_result(address, false, now);
+    record_probe_result(address, false, now);
     const auto found = members_.find(address);
     if (found == members_.end() || found->second.facts.state != liveness::live ||
         now < grace_until_ || suspects_itself_) {
@@ -159,82 +161,83 @@
     record& r = found->second;
     r.facts.state = liveness::suspect;
     r.state_since = now;
-    tell(r, rounds_of_a_change);
-    note_change(r.facts, true, liveness::live, false);
+    schedule_retransmits(r, change_retransmit_factor);
+    record_change(r.facts, true, liveness::live, false);
 }
 
-void member_table::tell(record& r, std::uint32_t rounds) const {
+void member_table::schedule_retransmits(record& r, std::uint32_t factor) const {
     const double members = static_cast<double>(members_.size()) + 2.0;
-    r.tellings_left = rounds * static_cast<std::uint32_t>(std::ceil(std::log2(members)));
+    r.retransmits_left = factor * static_cast<std::uint32_t>(std::ceil(std::log2(members)));
 }
 
-void member_table::note_change(const member_facts& now, bool was_known, liveness before,
-                               bool left) {
+void member_table::record_change(const member_facts& now, bool was_known, liveness before,
+                                 bool left) {
     changes_.push_back({now, was_known, before, left});
     ++revision_;
 }
 
-void member_table::refute(const member_facts& heard) {
-    if (heard.id.start_stamp == self_.id.start_stamp && heard.state != liveness::live &&
-        heard.incarnation >= self_.incarnation) {
-        self_.incarnation = heard.incarnation + 1;
+void member_table::refute(const member_facts& received) {
+    if (received.id.start_stamp == self_.id.start_stamp && received.state != liveness::live &&
+        received.incarnation >= self_.incarnation) {
+        self_.incarnation = received.incarnation + 1;
     }
 }
 
-void member_table::merge(const member_facts& heard, bool direct, time_point now) {
-    if (heard.id.address == self_.id.address) {
-        refute(heard);
+void member_table::merge(const member_facts& received, bool direct, time_point now) {
+    if (received.id.address == self_.id.address) {
+        refute(received);
         return;
     }
-    auto found = members_.find(heard.id.address);
-    if (found == members_.end() || heard.id.start_stamp > found->second.facts.id.start_stamp) {
-        // The gone are remembered for a while only: news of a death nobody here knew is no news.
-        if (found == members_.end() && heard.state == liveness::gone) {
+    auto found = members_.find(received.id.address);
+    if (found == members_.end() || received.id.start_stamp > found->second.facts.id.start_stamp) {
+        // Gone members are kept for a limited time only, so a report that an unknown member is gone
+        // is ignored.
+        if (found == members_.end() && received.state == liveness::gone) {
             return;
         }
         ++joined_;
         const bool is_new = found == members_.end();
-        record& fresh = members_[heard.id.address];
-        fresh.facts = heard;
+        record& fresh = members_[received.id.address];
+        fresh.facts = received;
         fresh.state_since = now;
-        fresh.key = key_of(heard.id);
-        tell(fresh, is_new ? rounds_of_a_join : rounds_of_a_change);
-        note_change(heard, false, liveness::live, heard.leaving);
+        fresh.key = key_of(received.id);
+        schedule_retransmits(fresh, is_new ? join_retransmit_factor : change_retransmit_factor);
+        record_change(received, false, liveness::live, received.leaving);
         return;
     }
     record& known = found->second;
-    if (heard.id.start_stamp < known.facts.id.start_stamp) {
+    if (received.id.start_stamp < known.facts.id.start_stamp) {
         return;
     }
-    const bool left = heard.leaving && !known.facts.leaving;
+    const bool left = received.leaving && !known.facts.leaving;
     const liveness before = known.facts.state;
-    if (supersedes(heard, known.facts)) {
-        const bool leaving = known.facts.leaving || heard.leaving;
-        known.facts = heard;
+    if (supersedes(received, known.facts)) {
+        const bool leaving = known.facts.leaving || received.leaving;
+        known.facts = received;
         known.facts.leaving = leaving;
         known.state_since = now;
-        tell(known, rounds_of_a_change);
-    } else if (direct && heard.state == liveness::live && known.facts.state != liveness::live) {
-        // It is alive but does not know that it was given up: told so, it refutes.
-        tell(known, rounds_of_a_change);
-    } else if (direct && heard.incarnation == known.facts.incarnation) {
-        known.facts.busy_permille = heard.busy_permille;
-        known.facts.configuration_version = heard.configuration_version;
+        schedule_retransmits(known, change_retransmit_factor);
+    } else if (direct && received.state == liveness::live && known.facts.state != liveness::live) {
+        // The member is alive but does not know that it is suspected: gossip makes it refute.
+        schedule_retransmits(known, change_retransmit_factor);
+    } else if (direct && received.incarnation == known.facts.incarnation) {
+        known.facts.busy_permille = received.busy_permille;
+        known.facts.configuration_version = received.configuration_version;
     }
     if (left) {
         known.facts.leaving = true;
-        tell(known, rounds_of_a_change);
+        schedule_retransmits(known, change_retransmit_factor);
     }
     if (left || before != known.facts.state) {
-        note_change(known.facts, true, before, left);
+        record_change(known.facts, true, before, left);
     }
 }
 
 std::uint64_t member_table::summary() const {
-    std::uint64_t mixed = spread(key_of(self_.id));
+    std::uint64_t mixed = hash_key(key_of(self_.id));
     for (const auto& [address, r] : members_) {
         if (r.facts.state != liveness::gone) {
-            mixed ^= spread(r.key);
+            mixed ^= hash_key(r.key);
         }
     }
     return mixed;
@@ -250,7 +253,7 @@
     return out;
 }
 
-std::vector<member_facts> member_table::facts_beyond(std::span<const std::uint32_t> keys) {
+std::vector<member_facts> member_table::facts_not_in(std::span<const std::uint32_t> keys) {
     const std::unordered_set<std::uint32_t> theirs(keys.begin(), keys.end());
     std::vector<const record*> missing;
     for (const auto& [address, r] : members_) {
@@ -259,7 +262,7 @@
         }
     }
     std::shuffle(missing.begin(), missing.end(), random_);
-    missing.resize(std::min(missing.size(), timing_.facts_a_message));
+    missing.resize(std::min(missing.size(), timing_.max_facts_per_message));
     std::vector<member_facts> out;
     for (const record* r : missing) {
         out.push_back(r->facts);
@@ -267,43 +270,44 @@
     return out;
 }
 
-void member_table::tell_rumours(std::vector<member_facts>& out) {
-    std::vector<record*> news;
+void member_table::append_updates(std::vector<member_facts>& out) {
+    std::vector<record*> updates;
     for (auto& [address, r] : members_) {
-        if (r.tellings_left > 0) {
-            news.push_back(&r);
+        if (r.retransmits_left > 0) {
+            updates.push_back(&r);
         }
     }
-    std::sort(news.begin(), news.end(),
-              [](const record* a, const record* b) { return a->tellings_left > b->tellings_left; });
-    news.resize(std::min(news.size(), timing_.rumours_a_message));
-    for (record* r : news) {
-        --r->tellings_left;
+    std::sort(updates.begin(), updates.end(), [](const record* a, const record* b) {
+        return a->retransmits_left > b->retransmits_left;
+    });
+    updates.resize(std::min(updates.size(), timing_.max_updates_per_message));
+    for (record* r : updates) {
+        --r->retransmits_left;
         out.push_back(r->facts);
     }
 }
 
 member_gossip member_table::probe_gossip() {
     member_gossip out{{self_}, summary(), {}};
-    tell_rumours(out.facts);
-    if (differs_) {
+    append_updates(out.facts);
+    if (summary_differs_) {
         out.keys = keys();
     }
     return out;
 }
 
-member_gossip member_table::answer_gossip(const member_gossip& heard) {
+member_gossip member_table::answer_gossip(const member_gossip& received) {
     member_gossip out{{self_}, summary(), {}};
-    if (heard.summary == 0 || heard.summary == out.summary) {
-        tell_rumours(out.facts);
+    if (received.summary == 0 || received.summary == out.summary) {
+        append_updates(out.facts);
         return out;
     }
     out.keys = keys();
-    if (heard.keys.empty()) {
-        tell_rumours(out.facts);
+    if (received.keys.empty()) {
+        append_updates(out.facts);
         return out;
     }
-    for (member_facts& facts : facts_beyond(heard.keys)) {
+    for (member_facts& facts : facts_not_in(received.keys)) {
         out.facts.push_back(std::move(facts));
     }
     return out;
@@ -314,21 +318,21 @@
         return std::nullopt;
     }
     member_gossip out{{self_}, summary(), {}};
-    for (member_facts& facts : facts_beyond(answer.keys)) {
+    for (member_facts& facts : facts_not_in(answer.keys)) {
         out.facts.push_back(std::move(facts));
     }
     return out.facts.size() > 1 ? std::optional(std::move(out)) : std::nullopt;
 }
 
-void member_table::hear(const member_gossip& told, std::string_view sender, time_point now) {
-    for (const member_facts& facts : told.facts) {
+void member_table::hear(const member_gossip& gossip, std::string_view sender, time_point now) {
+    for (const member_facts& facts : gossip.facts) {
         merge(facts, facts.id.address == sender, now);
     }
-    differs_ = told.summary != 0 && told.summary != summary();
+    summary_differs_ = gossip.summary != 0 && gossip.summary != summary();
 }
 
 milliseconds member_table::probe_pause() const {
-    const bool joining = std::max(joined_, joined_before_) > timing_.rumours_a_message;
+    const bool joining = std::max(joined_, joined_before_) > timing_.max_updates_per_message;
     return joining ? timing_.joining_period : timing_.probe_period;
 }
 
@@ -339,8 +343,8 @@
             now - r.state_since >= timing_.suspect_to_gone) {
             r.facts.state = liveness::gone;
             r.state_since = now;
-            tell(r, rounds_of_a_change);
-            note_change(r.facts, true, liveness::suspect, false);
+            schedule_retransmits(r, change_retransmit_factor);
+            record_change(r.facts, true, liveness::suspect, false);
         }
         const bool forgotten =
             r.facts.state == liveness::gone && now - r.state_since >= timing_.forget_gone;
--- a/bamboostream/src/Membership/member_table.h
+++ b/bamboostream/src/Membership/member_table.h
@@ -15,10 +15,10 @@
 
 namespace bamboostream {
 
-/// How sure this instance is that another one is alive.
+/// State of an instance according to the failure detector.
 enum class liveness : std::uint8_t { live = 0, suspect = 1, gone = 2 };
 
-/// What is known of one life of one instance.
+/// What is known about one process of an instance.
 struct member_facts {
     instance_id id;
     /// Where callers connect, "ip:port".
@@ -29,32 +29,34 @@
     /// Raised by the instance itself to refute a suspicion.
     std::uint32_t incarnation = 0;
     liveness state = liveness::live;
-    /// A graceful shutdown has begun. Never taken back for the same start stamp.
+    /// A graceful shutdown has begun. Never revoked for the same start stamp.
     bool leaving = false;
-    /// Load of the entry role, 0 to 1000.
+    /// Load of the entry role in thousandths, 0 to 1000.
     std::uint16_t busy_permille = 0;
     std::int64_t configuration_version = 0;
-    /// Thousandths of a core that the machine has for this instance; zero when it doesn't say.
+    /// CPU available to this instance, in thousandths of a core; zero if not reported.
     std::uint32_t capacity = 0;
 };
 
-/// Times of the failure detector. With the defaults a death is out of the directory within 2 s.
+/// Parameters of the failure detector. With the defaults, a failed instance is out of the
+/// directory within 2 s.
 struct membership_timing {
     milliseconds probe_period{300};
     milliseconds probe_timeout{300};
     milliseconds suspect_to_gone{5'000};
     milliseconds forget_gone{60'000};
-    std::size_t probes_a_period = 1;
-    std::size_t rumours_a_message = 8;
-    /// Facts in a message to a member that lacks many. Some 130 bytes each: a seed that is asked by
-    /// a hundred starting instances at once sends them in 0.35 s over 20 Mbit/s.
-    std::size_t facts_a_message = 64;
-    /// While this instance learns of many others in each period, it probes so often.
+    std::size_t probes_per_period = 1;
+    std::size_t max_updates_per_message = 8;
+    /// Limit of the facts in a message to a member that lacks many. At about 130 bytes each, a seed
+    /// that is probed by a hundred starting instances at once sends them in 0.35 s over 20 Mbit/s.
+    std::size_t max_facts_per_message = 64;
+    /// Probe period while this instance discovers many others in each period.
     milliseconds joining_period{100};
     std::size_t indirect_probes = 2;
 };
 
 /// A change of another member that the owner of the table may want to log or act on.
+/// `left` is set when the member has begun to leave.
 struct member_change {
     member_facts now;
     bool was_known = false;
@@ -62,75 +64,78 @@
     bool left = false;
 };
 
-/// What members tell each other in a probe and its answer.
+/// Content of a probe and of its answer.
 struct member_gossip {
     std::vector<member_facts> facts;
-    /// Names all members that the sender knows, so that two who know the same see it; zero when the
-    /// sender doesn't say.
+    /// Hash of the set of members known to the sender, so that two members can tell whether they
+    /// know the same set; zero if not reported.
     std::uint64_t summary = 0;
-    /// One key for each of them, when the summaries differ.
+    /// Hash of each known member; only sent when the summaries differ.
     std::vector<std::uint32_t> keys;
 };
 
-/// Membership by randomised probing with gossip on the back of each probe (the SWIM family):
-/// each period a few members are asked; who answers neither directly nor through others becomes
-/// suspect, and gone when it doesn't refute. Traffic an instance is constant in the number of
-/// members. Pure: it sends nothing and reads no clock.
+/// Group membership by randomised probing, with gossip piggybacked on the probes (SWIM): in each
+/// period a few members are probed; one that answers neither directly nor through helpers becomes
+/// suspect, and gone if it does not refute the suspicion. The traffic per instance is independent
+/// of the number of members. The class performs no I/O and reads no clock. Not thread-safe.
 ///
-/// Rumours spread single changes. Two members that turn out to know different others also exchange
-/// what either lacks: with rumours alone, of 295 instances that started together each knew 109
-/// after 4 s and 274 after 17 s, and until then they disagreed on who does what for all.
+/// Gossip spreads individual changes. In addition, two members that find that they know different
+/// sets exchange the members that either lacks: with gossip alone, of 295 instances that started
+/// together each knew 109 after 4 s and 274 after 17 s, and until then they disagreed on which of
+/// them are responsible for shared tasks.
 ///
 /// Example:
 /// ```
 /// for (const std::string& peer : table.choose_probes(now)) probe(peer);
 /// ```
-/// See also `directory`, which turns the members into answers for callers.
+/// See also `make_directory_answer`, which orders the members for a caller.
 class member_table {
 public:
     member_table(member_facts self, membership_timing timing, std::uint64_t seed);
 
-    /// Addresses from the platform's list. The list lags, so an address is only a place to probe;
-    /// a member appears once it has answered.
+    /// Sets the addresses from the platform's list. The list lags, so an address is only a probe
+    /// target; a member is added once it has answered.
     void set_seeds(std::span<const std::string> addresses, time_point now);
-    /// Members to probe now. Call once a probe period.
+    /// Members to probe now. Call once per `probe_pause`.
     std::vector<std::string> choose_probes(time_point now);
-    /// Members through which `target` should be probed when it did not answer.
+    /// Members to use for indirect probes of `target` when it did not answer.
     std::vector<std::string> choose_helpers(std::string_view target);
-    /// `address` answered a probe.
+    /// Records that `address` answered a probe.
     void probe_answered(std::string_view address, time_point now);
-    /// `address` answered neither directly nor through helpers.
+    /// Records that `address` answered neither directly nor through helpers.
     void probe_failed(std::string_view address, time_point now);
-    /// Takes over what a peer told. `direct` marks the sender's own facts about itself.
-    void merge(const member_facts& heard, bool direct, time_point now);
-    /// What to say in a probe: one's own facts first, then the least told changes.
+    /// Merges facts from a peer. `direct` marks the sender's own facts about itself.
+    void merge(const member_facts& received, bool direct, time_point now);
+    /// Gossip to send in a probe: this instance's own facts, then the changes with the most
+    /// transmissions left.
     member_gossip probe_gossip();
-    /// What to answer to a probe, after it has been heard.
-    member_gossip answer_gossip(const member_gossip& heard);
-    /// What the sender of an answer turned out to lack; nothing when it lacks nothing.
+    /// Gossip to answer a probe with; call after `hear` of the probe's gossip.
+    member_gossip answer_gossip(const member_gossip& received);
+    /// Gossip with the members that the sender of `answer` lacks; empty if it lacks none.
     std::optional<member_gossip> gossip_missing_at(const member_gossip& answer);
-    /// Takes over what `sender` told.
-    void hear(const member_gossip& told, std::string_view sender, time_point now);
-    /// When to choose probes again.
+    /// Merges gossip received from `sender`.
+    void hear(const member_gossip& gossip, std::string_view sender, time_point now);
+    /// Time until the next call of `choose_probes`.
     milliseconds probe_pause() const;
-    /// Raised by each change of who is usable.
+    /// Incremented by each change of the set of usable members.
     std::uint64_t revision() const { return revision_; }
-    /// Moves suspects to gone and forgets the long gone.
+    /// Marks suspects as gone, and removes gone members, when their times are over.
     void expire(time_point now);
 
     /// Begins a graceful shutdown.
     void begin_leaving();
     void update_self(std::uint16_t busy_permille, std::int64_t configuration_version);
     const member_facts& self() const { return self_; }
-    /// All other members, the gone ones left out.
+    /// All other members that are not gone.
     std::vector<member_facts> others() const;
-    /// Members that may be given work: live and not leaving, oneself included when not leaving.
+    /// Members that may be given work: live and not leaving. Includes this instance unless it is
+    /// leaving.
     std::vector<member_facts> usable() const;
-    /// Addresses of all other members still remembered, the gone ones included.
+    /// Addresses of all other members in the table, including those that are gone.
     std::vector<std::string> all_addresses() const;
     std::optional<member_facts> find(std::string_view address) const;
-    /// True while most probes fail at once: then the likelier failure is this instance's own
-    /// network, and no one else is accused.
+    /// True while probes of several members fail with no answer in between. The failure is then
+    /// likelier in this instance's own network, and no other member is marked as suspect.
     bool suspects_itself() const { return suspects_itself_; }
     /// Changes since the last call.
     std::vector<member_change> take_changes();
@@ -139,21 +144,22 @@
     struct record {
         member_facts facts;
         time_point state_since{};
-        std::uint32_t tellings_left = 0;
-        /// Stands for this life of the member in `member_gossip`.
+        /// How many more messages this fact is gossiped in.
+        std::uint32_t retransmits_left = 0;
+        /// Hash of this process of the member, sent in `member_gossip::keys`.
         std::uint32_t key = 0;
     };
 
-    void tell(record& r, std::uint32_t rounds) const;
-    void note_change(const member_facts& now, bool was_known, liveness before, bool left);
-    void refute(const member_facts& heard);
-    void note_result(std::string_view address, bool answered, time_point now);
-    void reshuffle();
+    void schedule_retransmits(record& r, std::uint32_t factor) const;
+    void record_change(const member_facts& now, bool was_known, liveness before, bool left);
+    void refute(const member_facts& received);
+    void record_probe_result(std::string_view address, bool answered, time_point now);
+    void refill_probe_order();
     std::uint64_t summary() const;
     std::vector<std::uint32_t> keys() const;
-    /// A random part of what is known and has none of these keys.
-    std::vector<member_facts> facts_beyond(std::span<const std::uint32_t> keys);
-    void tell_rumours(std::vector<member_facts>& out);
+    /// A random selection of the known members whose keys are not in `keys`.
+    std::vector<member_facts> facts_not_in(std::span<const std::uint32_t> keys);
+    void append_updates(std::vector<member_facts>& out);
 
     member_facts self_;
     membership_timing timing_;
@@ -161,16 +167,16 @@
     std::map<std::string, record, std::less<>> members_;
     std::vector<std::string> seeds_;
     std::vector<std::string> probe_order_;
-    std::set<std::string> failed_in_a_row_;
+    std::set<std::string> consecutive_failures_;
     time_point failing_since_{};
     std::vector<member_change> changes_;
     time_point last_period_{};
     time_point grace_until_{};
     bool suspects_itself_ = false;
     std::uint64_t revision_ = 0;
-    /// The last member heard of knows others than this instance.
-    bool differs_ = false;
-    /// Members that were learned of since the last choice of probes, and before it.
+    /// The last received gossip had a summary other than that of this instance.
+    bool summary_differs_ = false;
+    /// Members added since the last call of `choose_probes`, and in the period before it.
     std::size_t joined_ = 0;
     std::size_t joined_before_ = 0;
 };
--- a/bamboostream/src/Membership/view_age.h
+++ b/bamboostream/src/Membership/view_age.h
@@ -7,19 +7,19 @@
 
 namespace bamboostream {
 
-/// Until when an instance knows what the platform's store says of one topic, by its own reads or by
-/// those of others. The age is a fact that grows by itself while nothing is heard; nobody has to
-/// notice first that a read has failed.
+/// Age of an instance's view of one topic in the platform's store, from its own reads or from those
+/// of other instances. The age grows on its own while no update arrives, so staleness is detected
+/// without first noticing a failed read.
 ///
 /// Example: `if (view.age(now) > limit) read_the_store();`
 class view_age {
 public:
-    /// Everything that the store said at `as_of` is known here.
+    /// Records that the view includes everything the store contained at `as_of`.
     void known(time_point as_of) {
         known_until_ = known_until_ ? std::max(*known_until_, as_of) : as_of;
     }
     bool ever_known() const { return known_until_.has_value(); }
-    /// The longest duration there is while nothing was ever known.
+    /// Age of the view; `duration::max()` while there is none.
     duration age(time_point now) const {
         return known_until_ ? std::max(duration{}, now - *known_until_) : duration::max();
     }
--- a/test/configuration_test.cpp
+++ b/test/configuration_test.cpp
@@ -59,9 +59,9 @@
     EXPECT_EQ(state.version(), 0);
 }
 
-// A reader whose log begins after a hole accepts nothing until a snapshot fills it, and then also
-// judges what it read in between.
-TEST(configuration_state_test, hole_is_filled_by_snapshot_and_later_records_are_judged) {
+// A reader that lacks the beginning of the log accepts no submissions until a snapshot fills the
+// gap, and then also decides the submissions it has read in between.
+TEST(configuration_state_test, gap_is_filled_by_snapshot_and_later_records_are_decided) {
     configuration_state writer;
     writer.apply(submission(0, 0, "workspaces/a", workspace(1)));
     writer.apply(submission(1, 1, "workspaces/b", workspace(2)));
@@ -77,7 +77,8 @@
     EXPECT_EQ(reader.document()->workspaces.size(), 3U);
 }
 
-// A snapshot from before the hole's edge would bring an older state back: it is not taken.
+// A snapshot that is older than the first available record would restore an outdated state and must
+// be ignored.
 TEST(configuration_state_test, snapshot_older_than_what_can_be_read_is_refused) {
     configuration_state writer;
     writer.apply(submission(0, 0, "workspaces/a", workspace(1)));
@@ -103,8 +104,8 @@
               submission_outcome::conflict);
 }
 
-// Whatever the operators submit, and however readers are interrupted, hand over and lose history,
-// two whole readers at the same offset hold the same state, and no version ever goes back.
+// For arbitrary submissions, and readers that lose records or adopt a peer's state: two complete
+// readers at the same offset have the same state, and the version never decreases.
 TEST(configuration_property_test, readers_agree_and_never_go_back) {
     EXPECT_TRUE(rc::check([] {
         std::vector<log_record> log;
@@ -192,8 +193,8 @@
     EXPECT_EQ(mistakes.size(), 2U);
 }
 
-// An operator submits the document from version control while a failure domain is out of service.
-// It says nothing of cordons, so the order stands; one that lists them says which stand.
+// An operator submits the document from version control while a failure domain is cordoned. A
+// document without a section for cordons leaves them unchanged; one with the section replaces them.
 TEST(difference_test, a_document_without_cordons_leaves_them) {
     const json::value in_force = json::parse(
         R"({"workspaces":{"a":{}},"pools":{},"services":{},"resume_keys":{},"cordons":{"norra":{}}})");
--- a/test/membership_test.cpp
+++ b/test/membership_test.cpp
@@ -11,7 +11,8 @@
 
 constexpr milliseconds period{400};
 
-/// Member tables that exchange probes in simulated time; a fault is a set of names that are cut.
+/// Member tables that exchange probes in simulated time. Members in `dead_` neither send probes nor
+/// answer them.
 class gossip_group {
 public:
     explicit gossip_group(int count) {
@@ -70,9 +71,9 @@
     }
     void exchange(member_table& a, const std::string& a_name, member_table& b,
                   const std::string& b_name) {
-        const member_gossip asked = a.probe_gossip();
-        b.hear(asked, a_name, now_);
-        const member_gossip answer = b.answer_gossip(asked);
+        const member_gossip probe_sent = a.probe_gossip();
+        b.hear(probe_sent, a_name, now_);
+        const member_gossip answer = b.answer_gossip(probe_sent);
         a.hear(answer, b_name, now_);
         if (const auto missing = a.gossip_missing_at(answer)) {
             b.hear(*missing, a_name, now_);
@@ -100,7 +101,7 @@
 };
 class gossip_test : public testing::TestWithParam<group_size> {};
 
-TEST_P(gossip_test, everyone_finds_everyone_and_a_death_spreads) {
+TEST_P(gossip_test, all_discover_each_other_and_detect_a_failure) {
     const int n = GetParam().members;
     gossip_group g(n);
     g.run_for(seconds(2) + n * milliseconds(200));
@@ -122,9 +123,8 @@
                              return "members_" + std::to_string(info.param.members);
                          });
 
-// A frozen instance is suspected, then gone; when it wakes it refutes and is offered again, and it
-// does not accuse the others for the probes that timed out while it slept.
-/// Many instances that know three seeds each and come up within 0.3 s. One exchange takes 5 ms.
+/// Many instances that know three seeds each and start within 0.3 s. Time advances in steps of 5
+/// ms, and each exchange is completed within its step.
 class joining_group {
 public:
     explicit joining_group(int count) : random_(11) {
@@ -132,7 +132,7 @@
             start("m" + std::to_string(i));
         }
     }
-    /// A process comes up anew, with nothing known.
+    /// Starts a new process of the instance with an empty member table.
     void start(const std::string& name) {
         member_facts self;
         self.id = {name, ++last_stamp_};
@@ -155,7 +155,7 @@
             }
         }
     }
-    /// The share of all pairs in which one knows the present life of the other as usable.
+    /// Fraction of all pairs in which one member knows the current process of the other as usable.
     double known_share() const {
         std::size_t known = 0;
         for (const auto& [name, from] : instances_) {
@@ -166,12 +166,12 @@
         return static_cast<double>(known) /
                static_cast<double>(instances_.size() * instances_.size());
     }
-    std::size_t facts_told() const { return facts_told_; }
-    std::size_t keys_told() const { return keys_told_; }
-    std::size_t most_told_by_one() const {
+    std::size_t facts_sent() const { return facts_sent_; }
+    std::size_t keys_sent() const { return keys_sent_; }
+    std::size_t max_sent_by_one() const {
         std::size_t most = 0;
         for (const auto& [name, from] : instances_) {
-            most = std::max(most, from.told);
+            most = std::max(most, from.sent);
         }
         return most;
     }
@@ -180,23 +180,23 @@
     struct instance {
         std::unique_ptr<member_table> table;
         time_point next;
-        std::size_t told = 0;
+        std::size_t sent = 0;
     };
 
-    void count(instance& from, const member_gossip& told) {
-        facts_told_ += told.facts.size();
-        keys_told_ += told.keys.size();
-        from.told += told.facts.size();
+    void count(instance& from, const member_gossip& sent) {
+        facts_sent_ += sent.facts.size();
+        keys_sent_ += sent.keys.size();
+        from.sent += sent.facts.size();
     }
     void probe(const std::string& name, instance& from) {
         for (const std::string& peer : from.table->choose_probes(now_)) {
             instance& to = instances_.at(peer);
-            const member_gossip asked = from.table->probe_gossip();
-            to.table->hear(asked, name, now_);
-            const member_gossip answer = to.table->answer_gossip(asked);
+            const member_gossip probe_sent = from.table->probe_gossip();
+            to.table->hear(probe_sent, name, now_);
+            const member_gossip answer = to.table->answer_gossip(probe_sent);
             from.table->hear(answer, peer, now_);
             from.table->probe_answered(peer, now_);
-            count(from, asked);
+            count(from, probe_sent);
             count(to, answer);
             if (const auto missing = from.table->gossip_missing_at(answer)) {
                 to.table->hear(*missing, name, now_);
@@ -211,11 +211,12 @@
     std::vector<std::string> seeds_{"m0", "m1", "m2"};
     wall_time last_stamp_ = 0;
     time_point now_{seconds(100)};
-    std::size_t facts_told_ = 0;
-    std::size_t keys_told_ = 0;
+    std::size_t facts_sent_ = 0;
+    std::size_t keys_sent_ = 0;
 };
 
-/// How many start, how many of them once more later, and by when all must know all.
+/// Number of instances that start, how many of them restart later, and the time within which all
+/// must know each other.
 struct joining_row {
     std::string name;
     int members;
@@ -225,9 +226,9 @@
 };
 class joining_test : public testing::TestWithParam<joining_row> {};
 
-// Machines start together, or processes are killed together, and each knows three addresses at
-// most. Until all know all they disagree on who does what for the others: while 295 instances knew
-// some forty each, eighteen of them read the store for all, and callers were sent to a few only.
+// Many instances start or restart together, each with at most three known addresses. Until all know
+// each other they disagree on which of them do shared tasks: while 295 instances knew about forty
+// others each, eighteen of them read the store for all, and callers were directed to only a few.
 TEST_P(joining_test, all_know_all_in_time) {
     const joining_row& row = GetParam();
     joining_group group(row.members);
@@ -237,15 +238,14 @@
             group.start("m" + std::to_string(i));
         }
     }
-    const std::size_t told_before = group.facts_told();
+    const std::size_t sent_before = group.facts_sent();
     std::string steps;
     for (milliseconds at{0}; at < row.within; at += milliseconds(250)) {
         group.run_for(milliseconds(250));
         steps += fmt::format(" {:.3f}", group.known_share());
     }
-    fmt::print("{}: share of pairs each 250 ms{}; {} facts told, {} by one, {} keys\n", row.name,
-               steps, group.facts_told() - told_before, group.most_told_by_one(),
-               group.keys_told());
+    fmt::print("{}: share of pairs each 250 ms{}; {} facts sent, {} by one, {} keys\n", row.name,
+               steps, group.facts_sent() - sent_before, group.max_sent_by_one(), group.keys_sent());
     EXPECT_EQ(group.known_share(), 1.0);
 }
 
@@ -258,7 +258,10 @@
                     joining_row{"all_of_300_killed", 300, 300, milliseconds(2'000)}),
     [](const auto& info) { return info.param.name; });
 
-TEST(member_table_test, frozen_instance_wakes_and_comes_right) {
+// A suspended instance becomes suspect and then gone. When it continues, it refutes the suspicion
+// and is usable again, and it does not suspect the others because of probes that timed out
+// meanwhile.
+TEST(member_table_test, suspended_instance_recovers) {
     gossip_group g(6);
     g.run_for(seconds(4));
     g.kill("m2");
@@ -273,7 +276,7 @@
     EXPECT_TRUE(usable(g, "m5", "m2"));
 }
 
-TEST(member_table_test, restart_at_the_same_address_supersedes_and_old_news_does_not) {
+TEST(member_table_test, restart_at_the_same_address_supersedes_older_facts) {
     gossip_group g(4);
     g.run_for(seconds(3));
     g.at("m3").begin_leaving();
@@ -291,16 +294,17 @@
     EXPECT_TRUE(usable(g, "m0", "m3"));
 }
 
-// When most probes fail at once, the likelier fault is one's own network: no one is accused.
+// When most probes fail at once, the fault is likelier in the instance's own network, so it
+// suspects no other member.
 TEST(member_table_test, suspects_itself_when_most_seem_gone) {
     gossip_group g(8);
     g.run_for(seconds(4));
-    member_table& lonely = g.at("m0");
+    member_table& isolated = g.at("m0");
     for (int i = 1; i < 8; ++i) {
-        lonely.probe_failed("m" + std::to_string(i), g.now() + milliseconds(i));
+        isolated.probe_failed("m" + std::to_string(i), g.now() + milliseconds(i));
     }
-    EXPECT_TRUE(lonely.suspects_itself());
-    EXPECT_GE(lonely.usable().size(), 5U);
+    EXPECT_TRUE(isolated.suspects_itself());
+    EXPECT_GE(isolated.usable().size(), 5U);
 }
 
 TEST(member_table_test, leaving_is_never_taken_back_for_the_same_start) {
@@ -332,7 +336,7 @@
     EXPECT_FALSE(make_directory_answer(g.at("m0"), "d1", random).entries.empty());
 }
 
-// A rush that asks one instance must spread over all.
+// A burst of callers that ask the same instance must be spread over all instances.
 TEST(directory_test, first_entries_are_spread) {
     gossip_group g(8);
     g.run_for(seconds(4));
@@ -364,8 +368,8 @@
 };
 class backend_table_test : public testing::TestWithParam<backend_step> {};
 
-// After the server itself has said that it leaves, only a later life of it brings it back.
-TEST_P(backend_table_test, after_own_word_of_leaving) {
+// After a server has announced its leaving, only a later process of it is live again.
+TEST_P(backend_table_test, leaving_holds_until_restart) {
     backend_table table;
     table.update_from_list({listed(backend_state::live)}, {});
     table.observe("b", 5, backend_state::leaving, {});
@@ -391,7 +395,7 @@
                      backend_state::live}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// An engine that loaded a model takes work again afterwards: loading is no leaving.
+// An engine takes work again after it has loaded a model: unlike leaving, loading is temporary.
 TEST(backend_table_loading_test, comes_back_when_done) {
     backend_table table;
     table.update_from_list({listed(backend_state::live)}, {});
