--- a/bamboostream/src/Control/scheduling_service.cpp
+++ b/bamboostream/src/Control/scheduling_service.cpp
@@ -135,8 +135,8 @@
 std::vector<std::string> scheduling_service::candidates(std::string_view pool) const {
     std::vector<std::string> out;
     for (const std::string& owner : membership_.owners(pool_role(pool), schedulers_per_pool)) {
-        const auto silent = skipped_until_.find(owner);
-        if (silent == skipped_until_.end() || silent->second < monotonic_now()) {
+        const auto silent = unresponsive_until_.find(owner);
+        if (silent == unresponsive_until_.end() || silent->second < monotonic_now()) {
             out.push_back(owner);
         }
     }
@@ -166,7 +166,7 @@
             co_return *decision;
         }
         if (!answered) {
-            skipped_until_[reachable_schedulers.front()] = monotonic_now() + skip_duration;
+            unresponsive_until_[reachable_schedulers.front()] = monotonic_now() + skip_duration;
         }
     }
 }
--- a/bamboostream/src/Control/scheduling_service.h
+++ b/bamboostream/src/Control/scheduling_service.h
@@ -96,7 +96,7 @@
     std::unordered_map<std::uint64_t, std::shared_ptr<waiter>> waiters_;
     std::unordered_map<std::uint64_t, place_decision> undelivered_;
     std::unordered_map<std::uint64_t, streamed_generation> streams_;
-    std::unordered_map<std::string, time_point> skipped_until_;
+    std::unordered_map<std::string, time_point> unresponsive_until_;
 };
 
 } // namespace bamboostream
