--- a/bamboostream/src/Control/configuration_service.cpp
+++ b/bamboostream/src/Control/configuration_service.cpp
@@ -1,7 +1,7 @@
 #include "bamboostream/src/Control/configuration_service.h"
 
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Control/frames.h"
-#include "bamboostream/src/Control/periodic.h"
 #include "bamboostream/src/Core/event_log.h"
 
 #include <algorithm>
@@ -16,8 +16,8 @@
 const std::string stream_name = "configuration";
 constexpr milliseconds peer_period{500};
 constexpr milliseconds peer_timeout{1'000};
-constexpr milliseconds snapshot_check{1'000};
-constexpr std::size_t kept_verdicts = 4'000;
+constexpr milliseconds snapshot_check_period{1'000};
+constexpr std::size_t max_kept_verdicts = 4'000;
 } // namespace
 
 configuration_service::configuration_service(asio::io_context& context, log_service& log,
@@ -44,7 +44,7 @@
     }
 }
 
-void configuration_service::take(const log_page& page) {
+void configuration_service::apply_page(const log_page& page) {
     state_.note_first_offset(page.first_offset);
     for (const log_record& record : page.records) {
         auto verdict = state_.apply(record);
@@ -55,15 +55,15 @@
         if (!verdict) {
             continue;
         }
-        if (verdict->fate == submission_fate::conflict ||
-            verdict->fate == submission_fate::invalid) {
+        if (verdict->outcome == submission_outcome::conflict ||
+            verdict->outcome == submission_outcome::invalid) {
             log_event(events::configuration_rejected, "offset={} id={} reasons={}", record.offset,
                       verdict->id, verdict->reasons.size());
         }
         const std::string id = verdict->id;
         const auto waiter = waiting_.find(id);
         if (waiter != waiting_.end()) {
-            // A repeat is told what became of the first one.
+            // A repeated submission gets the verdict of the first one.
             verdicts_.try_emplace(id, std::move(*verdict));
             waiter->second->cancel();
         }
@@ -77,7 +77,7 @@
         const auto page =
             co_await log_.read(stream_name, state_.next_offset(), times_.poll_wait, why);
         if (page) {
-            take(*page);
+            apply_page(*page);
             if (log_is_down_) {
                 log_event(events::log_available, "stream={}", stream_name);
             }
@@ -93,9 +93,10 @@
 }
 
 asio::awaitable<bool> configuration_service::ask_peer() {
-    // The peer that says it has the newest version; any live one while this instance has a hole.
+    // Ask the peer with the newest announced version; any live peer will do while records are
+    // missing here.
     std::string best;
-    std::int64_t newest = state_.whole() ? state_.version() : -1;
+    std::int64_t newest = state_.is_complete() ? state_.version() : -1;
     for (const member_facts& peer : membership_.members().others()) {
         if (peer.state == liveness::live && peer.configuration_version > newest) {
             newest = peer.configuration_version;
@@ -106,7 +107,7 @@
         co_return false;
     }
     wire::ConfigurationRequestT request;
-    request.newer_than = state_.whole() ? state_.version() : -1;
+    request.newer_than = state_.is_complete() ? state_.version() : -1;
     link_failure why;
     const auto reply = co_await links_.call(best, make_frame(request), peer_timeout, why);
     if (!reply || reply->message.type != wire::Message::ConfigurationReply) {
@@ -118,7 +119,7 @@
 asio::awaitable<void> configuration_service::peer_loop() {
     while (true) {
         co_await pause_for(peer_period);
-        if (log_is_down_ || !state_.whole()) {
+        if (log_is_down_ || !state_.is_complete()) {
             const bool newer = co_await ask_peer();
             if (newer) {
                 publish();
@@ -131,7 +132,7 @@
 configuration_service::handle_request(const wire::ConfigurationRequestT& request) {
     wire::ConfigurationReplyT reply;
     reply.version = state_.version();
-    if (state_.whole() && state_.version() > request.newer_than) {
+    if (state_.is_complete() && state_.version() > request.newer_than) {
         reply.state = state_.serialize();
     }
     return make_reply(std::move(reply));
@@ -140,11 +141,11 @@
 asio::awaitable<void> configuration_service::snapshot_loop() {
     last_snapshot_seen_ = monotonic_now();
     while (true) {
-        co_await pause_for(snapshot_check);
+        co_await pause_for(snapshot_check_period);
         const auto owners = membership_.owners("role:configuration-snapshot", 1);
-        const bool mine = !owners.empty() && owners.front() == membership_.own_address();
+        const bool is_owner = !owners.empty() && owners.front() == membership_.own_address();
         const bool due = monotonic_now() - last_snapshot_seen_ >= times_.snapshot_period;
-        if (!mine || !due || log_is_down_ || !state_.whole() || state_.version() == 0) {
+        if (!is_owner || !due || log_is_down_ || !state_.is_complete() || state_.version() == 0) {
             continue;
         }
         log_failure why;
@@ -167,10 +168,10 @@
     if (!offset && why.code == log_error::not_appended) {
         waiting_.erase(id);
         verdict.reasons.push_back("the log took no record: " + why.text);
-        verdict.fate = submission_fate::undecided;
+        verdict.outcome = submission_outcome::undecided;
         co_return verdict;
     }
-    // Whether or not the answer came, only reading the record back decides.
+    // Whether or not the append was acknowledged, only reading the record back decides.
     while (!verdicts_.contains(id) && monotonic_now() < until) {
         co_await wait_on(*arrived, until);
     }
@@ -181,7 +182,7 @@
         co_return verdict;
     }
     verdict = found->second;
-    if (verdicts_.size() > kept_verdicts) {
+    if (verdicts_.size() > max_kept_verdicts) {
         verdicts_.clear();
     }
     co_return verdict;
--- a/bamboostream/src/Entry/completion_handler.cpp
+++ b/bamboostream/src/Entry/completion_handler.cpp
@@ -1,6 +1,6 @@
 #include "bamboostream/src/Entry/completion_handler.h"
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Core/event_log.h"
 #include "bamboostream/src/Entry/authentication.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr int most_attempts = 8;
+constexpr int max_attempts = 8;
 constexpr milliseconds attach_poll{50};
 /// When an engine was lost, another try may start at once elsewhere.
 constexpr milliseconds come_back_after_loss{100};
@@ -235,7 +235,8 @@
         core_.quarantine->note_answer(digest());
     }
     if (result.end == relay_end::lost) {
-        lost_run run{digest(), workspace_.text(), place.backend, start_stamp, result.tokens > 0};
+        lost_attempt run{digest(), workspace_.text(), place.backend, start_stamp,
+                         result.tokens > 0};
         co_await core_.quarantine->examine(std::move(run));
     }
     if (result.end == relay_end::lost || result.unreachable) {
@@ -246,7 +247,7 @@
 asio::awaitable<completion_handler::ending> completion_handler::run_attempts() {
     ending end;
     const std::string& unique = request_.key.empty() ? claimant_ : request_.key;
-    for (int attempt = 0; attempt < most_attempts; ++attempt) {
+    for (int attempt = 0; attempt < max_attempts; ++attempt) {
         const std::uint64_t place_id =
             stable_hash({workspace_.text(), unique, std::to_string(attempt)});
         const scheduling_request wanted = make_place_request(place_id);
--- a/bamboostream/src/Entry/service_handler.cpp
+++ b/bamboostream/src/Entry/service_handler.cpp
@@ -1,6 +1,6 @@
 #include "bamboostream/src/Entry/service_handler.h"
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Entry/authentication.h"
 
 namespace bamboostream {
@@ -133,7 +133,7 @@
         co_return;
     }
     if (ended.why.code == service_error::outcome_unknown) {
-        lost_run run{digest(), call_.workspace, backend, start_stamp, false};
+        lost_attempt run{digest(), call_.workspace, backend, start_stamp, false};
         co_await core_.quarantine->examine(std::move(run));
     }
     core_.membership->observe_failure(backend.text());
@@ -211,7 +211,7 @@
     const claim_result result = co_await core_.on_control([&]() -> asio::awaitable<claim_result> {
         return core_.claims->claim(call_.workspace, call_.key, digest, deadline_);
     });
-    switch (result.what) {
+    switch (result.decision) {
     case claim_result::kind::dispatch:
         co_await dispatch(result);
         break;
@@ -250,7 +250,7 @@
         } else if (last.why.code == service_error::not_run) {
             core_.claims->abandon(call_.workspace, call_.key, won.claim);
         } else {
-            core_.claims->left_unknown(won.claim);
+            core_.claims->mark_unknown(won.claim);
         }
         co_return;
     });
--- a/bamboostream/src/Forwarding/attempt_policy.cpp
+++ b/bamboostream/src/Forwarding/attempt_policy.cpp
@@ -19,13 +19,13 @@
     may_have_run = may_have_run || end != attempt_end::not_run;
 }
 
-bool may_retry(repeat_rule repeats, int most_attempts, const attempt_history& history,
+bool may_retry(repeat_policy repeats, int max_attempts, const attempt_history& history,
                attempt_end last) {
-    if (history.sends >= most_attempts || history.failed_connects >= max_failed_connects) {
+    if (history.sends >= max_attempts || history.failed_connects >= max_failed_connects) {
         return false;
     }
     const bool not_executed = last == attempt_end::not_sent || last == attempt_end::not_run;
-    return repeats != repeat_rule::once || (not_executed && !history.may_have_run);
+    return repeats != repeat_policy::once || (not_executed && !history.may_have_run);
 }
 
 final_response choose_final_response(const attempt_history& history, attempt_end last) {
--- a/bamboostream/src/Forwarding/attempt_policy.h
+++ b/bamboostream/src/Forwarding/attempt_policy.h
@@ -55,8 +55,8 @@
 
 /// Whether a request whose last attempt ended with `last` may be sent to another backend server. A
 /// request that must run at most once is sent again only if no earlier attempt may have executed
-/// it. `most_attempts` limits the sends of any request, whatever their results.
-bool may_retry(repeat_rule repeats, int most_attempts, const attempt_history& history,
+/// it. `max_attempts` limits the sends of any request, whatever their results.
+bool may_retry(repeat_policy repeats, int max_attempts, const attempt_history& history,
                attempt_end last);
 
 /// The response to the caller when the last attempt ended with `last` and no other follows.
--- a/bamboostream/src/Forwarding/forwarded_attempt.cpp
+++ b/bamboostream/src/Forwarding/forwarded_attempt.cpp
@@ -1,4 +1,4 @@
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Core/digest.h"
 #include "bamboostream/src/Core/event_log.h"
 #include "bamboostream/src/Forwarding/forwarded_call.h"
@@ -84,7 +84,7 @@
 
 asio::awaitable<bool> forwarded_call::open_connection(const registered_backend& backend) {
     const time_point now = monotonic_now();
-    const bool once = route_->repeats == repeat_rule::once;
+    const bool once = route_->repeats == repeat_policy::once;
     connection_ = state_.connections.take(
         backend.address, once ? duration(max_idle_non_repeatable) : duration(max_idle_repeatable),
         now);
@@ -102,7 +102,7 @@
 time_point forwarded_call::attempt_deadline() const {
     attempt_history after = history_;
     after.record(attempt_end::silent);
-    if (!may_retry(route_->repeats, route_->most_attempts, after, attempt_end::silent)) {
+    if (!may_retry(route_->repeats, route_->max_attempts, after, attempt_end::silent)) {
         return deadline_;
     }
     return std::min(deadline_, monotonic_now() + objectives_per_attempt * route_->objective);
@@ -270,7 +270,7 @@
 }
 
 bool forwarded_call::is_movable() const {
-    return route_->repeats == repeat_rule::once && service_->engine && service_->engine->moves;
+    return route_->repeats == repeat_policy::once && service_->engine && service_->engine->moves;
 }
 
 asio::awaitable<bool> forwarded_call::forward_events(std::string_view events, int status) {
@@ -303,7 +303,7 @@
     stream_->moved.reset();
     stream_->move_expected = false;
     splitter_.restart();
-    const bool is_resumable = route_->repeats == repeat_rule::resumable;
+    const bool is_resumable = route_->repeats == repeat_policy::resumable;
     const int tokens_per_event = service_->engine ? service_->engine->tokens_per_event : 1;
     std::string bytes;
     std::string events;
--- a/bamboostream/src/Forwarding/forwarded_call.cpp
+++ b/bamboostream/src/Forwarding/forwarded_call.cpp
@@ -1,6 +1,6 @@
 #include "bamboostream/src/Forwarding/forwarded_call.h"
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Core/event_log.h"
 #include "bamboostream/src/Forwarding/request_identity.h"
 
@@ -94,7 +94,7 @@
     if (state_.leaving && deadline_ > state_.shutdown_deadline) {
         return rejection{503, "leaving", refusal_cause::leaving};
     }
-    if (route_->repeats == repeat_rule::resumable) {
+    if (route_->repeats == repeat_policy::resumable) {
         splitter_ = event_splitter(request_.resume_after);
     }
     return std::nullopt;
@@ -345,7 +345,7 @@
     if (withdrawn_ || is_quarantined()) {
         return false;
     }
-    if (now >= deadline_ || !may_retry(route_->repeats, route_->most_attempts, history_, end)) {
+    if (now >= deadline_ || !may_retry(route_->repeats, route_->max_attempts, history_, end)) {
         return false;
     }
     return history_.sends == 0 || state_.budget.try_spend(service_->id, state_.live_instances, now);
--- a/bamboostream/src/Forwarding/latency_metrics.cpp
+++ b/bamboostream/src/Forwarding/latency_metrics.cpp
@@ -65,7 +65,7 @@
 latency_metrics::latency_metrics() : series_(std::make_unique<series>()) {}
 latency_metrics::~latency_metrics() = default;
 
-void latency_metrics::record(latency_stage stage, repeat_rule repeats, duration elapsed) {
+void latency_metrics::record(latency_stage stage, repeat_policy repeats, duration elapsed) {
     histogram_series& one =
         series_->all.at(static_cast<std::size_t>(stage)).at(static_cast<std::size_t>(repeats));
     const double seconds_taken = to_milliseconds(std::min(elapsed, max_recorded)) / 1000.0;
--- a/bamboostream/src/Forwarding/latency_metrics.h
+++ b/bamboostream/src/Forwarding/latency_metrics.h
@@ -33,7 +33,7 @@
     latency_metrics(const latency_metrics&) = delete;
     latency_metrics& operator=(const latency_metrics&) = delete;
 
-    void record(latency_stage stage, repeat_rule repeats, duration elapsed);
+    void record(latency_stage stage, repeat_policy repeats, duration elapsed);
     /// All histograms in the Prometheus text format, in seconds.
     std::string exposition() const;
 
--- a/bamboostream/src/Gateway/deployment_state.cpp
+++ b/bamboostream/src/Gateway/deployment_state.cpp
@@ -51,7 +51,7 @@
         submitted.notify_listeners(document_result::not_newer);
         return;
     }
-    if (text.size() > most_document_bytes) {
+    if (text.size() > max_document_bytes) {
         reject(origin, "too large");
         submitted.notify_listeners(document_result::rejected);
         return;
@@ -208,11 +208,11 @@
         if (all) {
             entries.push_back(std::move(*entry));
         } else {
-            forwarding_.registry.learn(*entry, now);
+            forwarding_.registry.update(*entry, now);
         }
     }
     if (all) {
-        forwarding_.registry.learn_all(entries, unreadable, now);
+        forwarding_.registry.update_all(entries, unreadable, now);
     }
     report_changes(update_source::store, now);
 }
@@ -227,7 +227,7 @@
     const bool has_no_entries = forwarding_.registry.empty() && entries_.position() == 0;
     if (!entries.empty() && (position > entries_.position() || has_no_entries)) {
         entries_.set_position(position);
-        forwarding_.registry.learn_from_peer(entries, now);
+        forwarding_.registry.update_from_peer(entries, now);
     }
     report_changes(update_source::peer_list, now);
 }
@@ -247,7 +247,7 @@
     if (!view.ever_known()) {
         return;
     }
-    if (view.age(now) > backend_registry::least_outage) {
+    if (view.age(now) > backend_registry::min_outage) {
         forwarding_.registry.store_failed(now);
     } else {
         forwarding_.registry.store_answered(now);
--- a/bamboostream/src/Gateway/peer_frames.h
+++ b/bamboostream/src/Gateway/peer_frames.h
@@ -27,7 +27,7 @@
 /// The point in time described by the age in a frame that is received now. Returns nothing for the
 /// age that stands for "unknown": interpreted as a time long ago it would look like an outage of
 /// the store.
-std::optional<time_point> time_from_age(std::uint32_t age_on_wire, time_point now);
+std::optional<time_point> time_from_age(std::uint32_t age_to_wire, time_point now);
 
 /// Cordons are sent with the position up to which they hold; zero for an instance that doesn't know
 /// any.
--- a/bamboostream/src/Gateway/store_update_exchange.cpp
+++ b/bamboostream/src/Gateway/store_update_exchange.cpp
@@ -1,7 +1,7 @@
 #include "bamboostream/src/Gateway/store_update_exchange.h"
 
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Control/frames.h"
-#include "bamboostream/src/Control/periodic.h"
 #include "bamboostream/src/Core/event_log.h"
 #include "bamboostream/src/Gateway/peer_frames.h"
 
@@ -46,7 +46,7 @@
 /// Adds the delay of an announcement to an age that it reports.
 std::uint32_t increase_age(std::uint32_t age_ms, milliseconds by) {
     constexpr std::uint32_t unknown = std::numeric_limits<std::uint32_t>::max();
-    return age_ms == unknown ? unknown : age_on_wire(milliseconds(age_ms) + by);
+    return age_ms == unknown ? unknown : age_to_wire(milliseconds(age_ms) + by);
 }
 
 } // namespace
@@ -153,8 +153,8 @@
     news.configuration_version = state_.version();
     news.previous = static_cast<std::uint64_t>(previous);
     news.sequence = static_cast<std::uint64_t>(announced_position_);
-    news.entries_age_ms = age_on_wire(store_.own_view_age(record_topic::backend_entries, now));
-    news.documents_age_ms = age_on_wire(store_.own_view_age(record_topic::operator_documents, now));
+    news.entries_age_ms = age_to_wire(store_.own_view_age(record_topic::backend_entries, now));
+    news.documents_age_ms = age_to_wire(store_.own_view_age(record_topic::operator_documents, now));
     if (changes.size() > max_announced_changes) {
         // Announces more changes than the message contains: an instance that knows less requests
         // the list in pages.
@@ -176,7 +176,7 @@
 }
 
 void store_update_exchange::broadcast(wire::StoreNewsT news) {
-    if (!membership_.has_many_peers()) {
+    if (!membership_.needs_relays()) {
         links_.send_to_each(membership_.usable_peers(), make_frame(std::move(news)));
         return;
     }
@@ -241,7 +241,7 @@
     if (stale != (age > read_timing_of(topic).fallback_view_age)) {
         stale = !stale;
         log_event(stale ? events::view_stale : events::view_fresh, "topic={} age_ms={}",
-                  entries ? "backend_entries" : "operator_documents", age_on_wire(age));
+                  entries ? "backend_entries" : "operator_documents", age_to_wire(age));
     }
 }
 
@@ -315,7 +315,7 @@
         } else if (fact->lapsed) {
             forwarding_.registry.remove(backend_id(fact->id), now);
         } else {
-            forwarding_.registry.learn(from_wire(*fact, now), now);
+            forwarding_.registry.update(from_wire(*fact, now), now);
         }
     }
     state_.report_changes(update_source::announcement, now);
@@ -456,10 +456,10 @@
     wire::BackendListT list;
     const time_point now = monotonic_now();
     list.fresh = !is_stale(record_topic::backend_entries, now);
-    list.age_ms = age_on_wire(forwarding_.entries_view.age(now));
+    list.age_ms = age_to_wire(forwarding_.entries_view.age(now));
     list.sequence = static_cast<std::uint64_t>(state_.entries().position());
     list.documents_sequence = static_cast<std::uint64_t>(state_.cordons().position);
-    list.documents_age_ms = age_on_wire(forwarding_.documents_view.age(now));
+    list.documents_age_ms = age_to_wire(forwarding_.documents_view.age(now));
     list.configuration_version = state_.version();
     list.cordoned = to_wire(state_.cordons().domains);
     if (request.documents_only) {
--- a/bamboostream/src/Ledger/claim_table.h
+++ b/bamboostream/src/Ledger/claim_table.h
@@ -78,7 +78,7 @@
 /// The first claim of a call, in log order, that is not void wins. A claim is never transferred:
 /// only its claimant dispatches the call, after reading the claim back, and only its claimant voids
 /// it, after deciding never to dispatch. A claimant that was paused is therefore harmless when it
-/// continues, and no lease is needed. Performs no I/O; see `claim_keeper` for that. Not
+/// continues, and no lease is needed. Performs no I/O; see `claim_service` for that. Not
 /// thread-safe.
 class claim_table {
 public:
--- a/test/configuration_test.cpp
+++ b/test/configuration_test.cpp
@@ -26,12 +26,12 @@
 
 TEST(configuration_state_test, first_of_two_racing_submissions_wins) {
     configuration_state state;
-    EXPECT_EQ(state.apply(submission(0, 0, "workspaces/a", workspace(1)))->fate,
-              submission_fate::accepted);
-    EXPECT_EQ(state.apply(submission(1, 1, "workspaces/a", workspace(2)))->fate,
-              submission_fate::accepted);
+    EXPECT_EQ(state.apply(submission(0, 0, "workspaces/a", workspace(1)))->outcome,
+              submission_outcome::accepted);
+    EXPECT_EQ(state.apply(submission(1, 1, "workspaces/a", workspace(2)))->outcome,
+              submission_outcome::accepted);
     const auto loser = state.apply(submission(2, 1, "workspaces/a", workspace(3)));
-    EXPECT_EQ(loser->fate, submission_fate::conflict);
+    EXPECT_EQ(loser->outcome, submission_outcome::conflict);
     EXPECT_EQ(loser->reasons.at(0), "workspaces/a");
     EXPECT_EQ(state.version(), 2);
 }
@@ -40,44 +40,45 @@
     configuration_state state;
     state.apply(submission(0, 0, "workspaces/a", workspace(1)));
     state.apply(submission(1, 1, "workspaces/a", nullptr));
-    EXPECT_EQ(state.apply(submission(2, 1, "workspaces/a", workspace(5)))->fate,
-              submission_fate::conflict);
+    EXPECT_EQ(state.apply(submission(2, 1, "workspaces/a", workspace(5)))->outcome,
+              submission_outcome::conflict);
     EXPECT_FALSE(state.document()->workspaces.contains("a"));
 }
 
 TEST(configuration_state_test, same_id_counts_once) {
     configuration_state state;
     state.apply(submission(0, 0, "workspaces/a", workspace(1), "x"));
-    EXPECT_EQ(state.apply(submission(1, 0, "workspaces/b", workspace(1), "x"))->fate,
-              submission_fate::repeated);
+    EXPECT_EQ(state.apply(submission(1, 0, "workspaces/b", workspace(1), "x"))->outcome,
+              submission_outcome::repeated);
 }
 
 TEST(configuration_state_test, invalid_document_is_refused_whole) {
     configuration_state state;
     const auto verdict = state.apply(submission(0, 0, "workspaces/a", workspace(-4)));
-    EXPECT_EQ(verdict->fate, submission_fate::invalid);
+    EXPECT_EQ(verdict->outcome, submission_outcome::invalid);
     EXPECT_EQ(state.version(), 0);
 }
 
-// A reader whose log begins after a hole accepts nothing until a snapshot fills it, and then also
-// judges what it read in between.
-TEST(configuration_state_test, hole_is_filled_by_snapshot_and_later_records_are_judged) {
+// A reader that lacks the beginning of the log accepts no submissions until a snapshot fills the
+// gap, and then also decides the submissions it has read in between.
+TEST(configuration_state_test, gap_is_filled_by_snapshot_and_later_records_are_decided) {
     configuration_state writer;
     writer.apply(submission(0, 0, "workspaces/a", workspace(1)));
     writer.apply(submission(1, 1, "workspaces/b", workspace(2)));
     const std::string snapshot = writer.snapshot_record();
     configuration_state reader;
     reader.note_first_offset(2);
-    EXPECT_FALSE(reader.whole());
-    EXPECT_EQ(reader.apply(submission(2, 2, "workspaces/c", workspace(3)))->fate,
-              submission_fate::undecided);
+    EXPECT_FALSE(reader.is_complete());
+    EXPECT_EQ(reader.apply(submission(2, 2, "workspaces/c", workspace(3)))->outcome,
+              submission_outcome::undecided);
     reader.apply({3, 0, snapshot});
-    EXPECT_TRUE(reader.whole());
+    EXPECT_TRUE(reader.is_complete());
     EXPECT_EQ(reader.version(), 3);
     EXPECT_EQ(reader.document()->workspaces.size(), 3U);
 }
 
-// A snapshot from before the hole's edge would bring an older state back: it is not taken.
+// A snapshot that is older than the first available record would restore an outdated state and must
+// be ignored.
 TEST(configuration_state_test, snapshot_older_than_what_can_be_read_is_refused) {
     configuration_state writer;
     writer.apply(submission(0, 0, "workspaces/a", workspace(1)));
@@ -85,7 +86,7 @@
     configuration_state reader;
     reader.note_first_offset(5);
     reader.apply({5, 0, old_snapshot});
-    EXPECT_FALSE(reader.whole());
+    EXPECT_FALSE(reader.is_complete());
     EXPECT_EQ(reader.version(), 0);
 }
 
@@ -99,12 +100,12 @@
     EXPECT_FALSE(behind.adopt(older));
     EXPECT_FALSE(behind.adopt("not json"));
     EXPECT_EQ(behind.version(), 2);
-    EXPECT_EQ(behind.apply(submission(2, 1, "workspaces/a", workspace(9)))->fate,
-              submission_fate::conflict);
+    EXPECT_EQ(behind.apply(submission(2, 1, "workspaces/a", workspace(9)))->outcome,
+              submission_outcome::conflict);
 }
 
-// Whatever the operators submit, and however readers are interrupted, hand over and lose history,
-// two whole readers at the same offset hold the same state, and no version ever goes back.
+// For arbitrary submissions, and readers that lose records or adopt a peer's state: two complete
+// readers at the same offset have the same state, and the version never decreases.
 TEST(configuration_property_test, readers_agree_and_never_go_back) {
     EXPECT_TRUE(rc::check([] {
         std::vector<log_record> log;
@@ -140,7 +141,7 @@
             }
             RC_ASSERT(reader.version() >= last);
             last = reader.version();
-            if (reader.whole() && reader.next_offset() == peer.next_offset()) {
+            if (reader.is_complete() && reader.next_offset() == peer.next_offset()) {
                 RC_ASSERT(reader.version() == peer.version());
                 RC_ASSERT(reader.document_json() == peer.document_json());
             }
@@ -191,8 +192,8 @@
     EXPECT_EQ(errors.size(), 2U);
 }
 
-// An operator submits the document from version control while a failure domain is out of service.
-// It says nothing of cordons, so the order stands; one that lists them says which stand.
+// An operator submits the document from version control while a failure domain is cordoned. A
+// document without a section for cordons leaves them unchanged; one with the section replaces them.
 TEST(difference_test, a_document_without_cordons_leaves_them) {
     const json::value in_force = json::parse(
         R"({"workspaces":{"a":{}},"pools":{},"services":{},"resume_keys":{},"cordons":{"norra":{}}})");
--- a/test/platform/forwarding_fixture.cpp
+++ b/test/platform/forwarding_fixture.cpp
@@ -1,6 +1,6 @@
 #include "test/platform/forwarding_fixture.h"
 
-#include "bamboostream/src/Control/periodic.h"
+#include "bamboostream/src/Control/async_wait.h"
 #include "bamboostream/src/Http/address.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -21,7 +21,7 @@
     return asio::redirect_error(asio::use_awaitable, ec);
 }
 
-route_rule make_route(const std::string& name, repeat_rule repeats, int attempts) {
+route_rule make_route(const std::string& name, repeat_policy repeats, int attempts) {
     route_rule route;
     route.name = name;
     route.host = "host.example";
@@ -29,7 +29,7 @@
     route.repeats = repeats;
     route.timeout = milliseconds(900);
     route.objective = milliseconds(150);
-    route.most_attempts = attempts;
+    route.max_attempts = attempts;
     route.services = {{service_id("calls"), 1.0}};
     return route;
 }
@@ -37,10 +37,10 @@
 routing_configuration make_configuration() {
     routing_configuration out;
     out.version = 1;
-    out.routes.push_back(make_route("once", repeat_rule::once, 1));
-    out.routes.push_back(make_route("safe", repeat_rule::repeatable, 2));
-    out.routes.push_back(make_route("long", repeat_rule::once, 1));
-    out.routes.push_back(make_route("label", repeat_rule::resumable, 2));
+    out.routes.push_back(make_route("once", repeat_policy::once, 1));
+    out.routes.push_back(make_route("safe", repeat_policy::repeatable, 2));
+    out.routes.push_back(make_route("long", repeat_policy::once, 1));
+    out.routes.push_back(make_route("label", repeat_policy::resumable, 2));
     for (const std::size_t stream : {2, 3}) {
         out.routes[stream].streaming = true;
         out.routes[stream].services = {{service_id("engines"), 1.0}};
@@ -148,7 +148,7 @@
     entry.service = service_id(service);
     entry.failure_domain = failure_domain_id("norra");
     entry.slots = 6;
-    state_->registry.learn(entry, monotonic_now());
+    state_->registry.update(entry, monotonic_now());
     return *backends_.back();
 }
 
@@ -156,7 +156,7 @@
     registered_backend entry = *state_->registry.find(backend_id(id));
     entry.started_ms = started_ms;
     entry.address = backends_.back()->address();
-    state_->registry.learn(entry, monotonic_now());
+    state_->registry.update(entry, monotonic_now());
 }
 
 void forwarding_fixture::add_dead(const std::string& id) {
--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -74,7 +74,7 @@
     ("removals that readers conclude", "Gateway/change_cursor.h",
      "return next >= position_;", "return next > position_ && next < 0;"),
     ("further sends", "Forwarding/attempt_policy.cpp",
-     "return repeats != repeat_rule::once || (not_executed && !history.may_have_run);",
+     "return repeats != repeat_policy::once || (not_executed && !history.may_have_run);",
      "return not_executed && !history.may_have_run;"),
 ]
 
