--- a/test/platform/configuration_distributor_test.cpp
+++ b/test/platform/configuration_distributor_test.cpp
@@ -1,4 +1,5 @@
-// A configuration that takes long on small machines' links reaches every instance, over real links.
+// Tests, over real connections, that a configuration that is large for the links of small machines
+// reaches every instance.
 
 #include "bamboostream/src/Control/periodic.h"
 #include "test/platform/peer_group.h"
@@ -15,10 +16,11 @@
 namespace asio = boost::asio;
 
 constexpr double link_mbps = 10.0;
-/// Deployments want a configuration in force everywhere within 2 to 4 s of the store's word.
-constexpr milliseconds in_force_within{3'000};
+/// Deployments require a configuration to be in force everywhere within 2 to 4 s of its write to
+/// the store.
+constexpr milliseconds max_apply_time{3'000};
 
-/// A route as operators write them; names that no compression makes short.
+/// Returns a route as operators write them, with random names that don't compress.
 std::string route_text(std::mt19937_64& random) {
     const auto name = [&] { return fmt::format("{:016x}", random()); };
     return fmt::format(
@@ -38,7 +40,7 @@
     void start(peer_group& group) {
         write(group, 1, 10);
         for (const auto& it : group.all) {
-            it->spread->start();
+            it->distributor->start();
             it->news->start();
             it->follower.start(*it->news);
         }
@@ -59,7 +61,8 @@
             std::count_if(group.all.begin(), group.all.end(),
                           [&](const auto& it) { return it->state.version() == version; }));
     }
-    /// How long it took until all had the version; the limit when they hadn't by then.
+    /// Runs until all instances have the version, at most until `limit` after the write. Returns
+    /// the time since the write.
     duration until_all_hold(peer_group& group, int version, duration limit) const {
         while (holding(group, version) < group.all.size() && monotonic_now() < written_ + limit) {
             group.run_for(milliseconds(10));
@@ -73,10 +76,10 @@
     time_point written_{};
 };
 
-// Callers of an instance that the store turns away go by its old routes and get 404 on new ones,
-// without end. The operator writes 8,000 routes. The instance is told of the version and asks a
-// peer for it; over its link the document takes longer than it waits for an answer, and an answer
-// that comes late was thrown away and asked for again.
+// Guards against an instance that the store turns away and that never gets a new configuration, so
+// that callers get 404 on new routes. The operator writes 8,000 routes. Over the instance's link
+// the document took longer than the answer timeout; late answers were discarded and requested
+// again.
 TEST_F(configuration_distributor, an_instance_without_the_store_takes_it_over_a_narrow_link) {
     peer_group group(1, 2, link_mbps);
     start(group);
@@ -85,17 +88,16 @@
     other->store.turned_away = true;
     group.run_for(milliseconds(100));
     write(group, 2, 8'000);
-    until_all_hold(group, 2, in_force_within);
+    until_all_hold(group, 2, max_apply_time);
     EXPECT_EQ(reader->state.version(), 2);
     EXPECT_EQ(other->state.version(), 2);
 }
 
-// Many instances are told of a large configuration at the same moment, and the store serves its
-// readers only. Callers at most of them went by the old one for as long as it took: whoever had it
-// sent it whole to all that asked, each answer came later than its asker waited, and all asked
-// again, so that the links were full and nobody got on.
-// Cause: nothing bounded what was under way to askers that had given up. Evidence: the readers'
-// links carried 25 MB a second and their memory grew from 24 to 520 MB, until they were ended.
+// Many instances learn of a large configuration at the same moment, and the store serves only its
+// readers. Holders used to send the whole document to every requester; each answer arrived after
+// its requester's timeout and all asked again, which saturated the links, and most instances kept
+// the old version. Nothing limited the data in flight to requesters that had given up: the readers'
+// links carried 25 MB/s and their memory grew from 24 to 520 MB, until they were killed.
 TEST_F(configuration_distributor, all_take_it_at_the_same_moment) {
     constexpr int domains = 3;
     constexpr int instances_a_domain = 4;
@@ -111,73 +113,75 @@
         before += it->link->carried();
     }
     write(group, 2, 4'000);
-    until_all_hold(group, 2, in_force_within);
+    until_all_hold(group, 2, max_apply_time);
     EXPECT_EQ(holding(group, 2), group.all.size());
     std::uint64_t carried = 0;
     for (const auto& it : group.all) {
         carried += it->link->carried();
     }
-    // Each needs it once. What is told besides takes some hundred kilobytes in this time.
+    // Each instance needs the document once. All other frames take some hundred kilobytes in this
+    // time.
     EXPECT_LT(carried - before, group.all.size() * document_.size());
 }
 
-// All instances start at the same moment, after all were lost. Those that read for all read the
-// configuration; the others, which had all read it whole while they should serve again, have it
-// from them.
+// All instances restart at the same moment. Only the instances in the reading order read the
+// configuration from the store; the others get it from them. All used to read it whole from the
+// store, at the time when they should resume serving.
 TEST_F(configuration_distributor, a_start_of_all_reads_it_at_few) {
     constexpr int domains = 4;
     constexpr int instances_a_domain = 6;
     peer_group group(domains, instances_a_domain, link_mbps);
     write(group, 1, 4'000);
     for (const auto& it : group.all) {
-        it->spread->start();
+        it->distributor->start();
         it->news->start();
         it->follower.start(*it->news);
     }
-    until_all_hold(group, 1, in_force_within);
+    until_all_hold(group, 1, max_apply_time);
     EXPECT_EQ(holding(group, 1), group.all.size());
     group.run_for(milliseconds(1'000));
     int reads = 0;
     for (const auto& it : group.all) {
-        reads += it->store.whole_documents();
+        reads += it->store.full_document_reads();
     }
     EXPECT_LE(reads, static_cast<int>(store_read_policy::order_length));
 }
 
-// The store is being read for a version that others have told of, or one that has come is being
-// read beside the requests. Callers of an instance that looks again and again meanwhile wait for
-// its processor.
+// While the store is being read for an announced version, or a received version is being parsed,
+// the distributor is paused. Polling the pause condition in a busy loop would take the CPU time
+// that requests need.
 TEST_F(configuration_distributor, an_instance_that_waits_is_idle) {
     peer_group group(1, 2);
     start(group);
     peer_instance* other = group.owners("store")[1];
     other->store.turned_away = true;
-    int looks = 0;
-    other->spread->set_pause_condition([&looks] {
-        ++looks;
+    int polls = 0;
+    other->distributor->set_pause_condition([&polls] {
+        ++polls;
         return true;
     });
     group.run_for(milliseconds(100));
     write(group, 2, 10);
-    looks = 0;
+    polls = 0;
     group.run_for(milliseconds(500));
     EXPECT_EQ(other->state.version(), 1);
-    EXPECT_LT(looks, 30);
+    EXPECT_LT(polls, 30);
 }
 
-// Nobody else is there: callers of the only instance don't wait for one to hand anything on.
+// An instance without peers reads the store at once, instead of waiting for a peer to provide the
+// configuration.
 TEST_F(configuration_distributor, an_instance_alone_reads_at_once) {
     peer_group group(1, 1);
     write(group, 1, 10);
-    group.all.front()->spread->start();
+    group.all.front()->distributor->start();
     group.all.front()->news->start();
     group.all.front()->follower.start(*group.all.front()->news);
     EXPECT_LT(until_all_hold(group, 1, seconds(2)), milliseconds(400));
 }
 
-// A large document is handed on over a small link. What comes behind it on that link is a probe
-// whose sender suspects who is late by 300 ms, or a choice of an engine that a caller waits for; in
-// one frame the document would hold it up for a second.
+// A large document is sent over a slow link that also carries probes, whose sender suspects a peer
+// that answers 300 ms late, and engine choices that callers wait for. Sent in one frame, the
+// document would delay them by a second.
 TEST_F(configuration_distributor, nothing_waits_behind_it) {
     peer_group group(1, 2, link_mbps);
     start(group);
--- a/test/platform/configuration_reader_test.cpp
+++ b/test/platform/configuration_reader_test.cpp
@@ -1,19 +1,20 @@
-// Configurations that are read beside the thread of the requests.
+// Tests configurations that are parsed outside the thread that serves requests.
 
 #include "bamboostream/Gateway"
 #include "platform/record_translation.h"
 #include "platform/request_translation.h"
-#include "test/platform/document_play.h"
+#include "test/platform/document_simulation.h"
 
 #include <gtest/gtest.h>
 
 namespace bamboostream::test {
 namespace {
 
-/// What is taken, in this order, while the first is being read, and what is in force in the end.
+/// Documents submitted in this order while the first one is being parsed, and the version in force
+/// at the end.
 struct order_row {
     std::string name;
-    std::vector<std::string> taken;
+    std::vector<std::string> submitted;
     std::int64_t in_force;
     std::uint64_t rejected;
 };
@@ -33,9 +34,9 @@
     set_reader() : forwarding_(requests_, failure_domain_id("z"), {}, 1) {
         state_.set_reader(reader_);
     }
-    void run_until_judged(std::size_t count) {
+    void run_until_settled(std::size_t count) {
         const time_point limit = monotonic_now() + seconds(10);
-        while (judged_ < count && monotonic_now() < limit) {
+        while (settled_ < count && monotonic_now() < limit) {
             context_.restart();
             context_.run_for(milliseconds(5));
         }
@@ -47,7 +48,7 @@
     forwarding_state forwarding_;
     deployment_state state_{forwarding_, records_};
     configuration_reader reader_{context_, records_};
-    std::size_t judged_ = 0;
+    std::size_t settled_ = 0;
     std::uint64_t rejected_ = 0;
 };
 
@@ -67,22 +68,24 @@
             0}),
     [](const auto& info) { return info.param.name; });
 
-// Versions come faster than they can be read, from the store and from peers. Requests go on by the
-// one in force; whoever gave one away learns when it is settled; the newest is in force in the end.
+// Versions arrive from the store and from peers faster than they can be parsed. Requests continue
+// to use the version in force, each submitter is notified of the result, and the newest version is
+// in force at the end.
 TEST_P(set_reader, the_newest_is_in_force_in_the_end) {
     const order_row& row = GetParam();
-    for (const std::string& text : row.taken) {
-        state_.submit_configuration(text, "peer", [this](document_result verdict) {
-            ++judged_;
-            rejected_ += verdict == document_result::rejected ? 1 : 0;
+    for (const std::string& text : row.submitted) {
+        state_.submit_configuration(text, "peer", [this](document_result result) {
+            ++settled_;
+            rejected_ += result == document_result::rejected ? 1 : 0;
         });
     }
     EXPECT_EQ(state_.version(), 0);
-    run_until_judged(row.taken.size());
-    EXPECT_EQ(judged_, row.taken.size());
+    run_until_settled(row.submitted.size());
+    EXPECT_EQ(settled_, row.submitted.size());
     EXPECT_EQ(state_.version(), row.in_force);
     EXPECT_EQ(state_.rejected_documents(), row.rejected);
-    // One that is given up unread may come again.
+    // A version that was superseded before it was parsed is not rejected; it may be submitted
+    // again.
     EXPECT_EQ(rejected_, row.rejected);
 }
 
--- a/test/platform/cordon_test.cpp
+++ b/test/platform/cordon_test.cpp
@@ -1,5 +1,5 @@
-// Failure domains that the operator takes out of service: how the order becomes known and what it
-// keeps from being sent.
+// Tests failure domains that the operator takes out of service (cordons): how a cordon reaches all
+// instances, and which requests it stops.
 
 #include "platform/record_translation.h"
 #include "platform/request_translation.h"
@@ -25,7 +25,7 @@
     return out;
 }
 
-// --- what a record says
+// --- keys of records
 
 struct key_row {
     std::string name;
@@ -50,24 +50,24 @@
     EXPECT_EQ(domain ? domain->text() : "", GetParam().domain);
 }
 
-// --- whose word holds
+// --- which source takes precedence
 
-/// What is read or told, one after the other: "all" and "read" come from the store, the newest
-/// records or those that follow, "told" from another instance.
-struct word {
+/// One of a series of updates. `from` is "all" for the newest records of the store, "read" for
+/// records that follow, and "told" for an announcement of another instance.
+struct cordon_update {
     std::string from;
     std::int64_t position;
-    /// Domains, comma separated; one that was restored has a minus before it.
+    /// Comma-separated failure domains; a minus sign marks one that was put back into service.
     std::string domains;
 };
-struct words_row {
+struct updates_row {
     std::string name;
-    std::vector<word> words;
+    std::vector<cordon_update> updates;
     std::string cordoned;
     std::int64_t position;
 };
 
-class cordon_words : public testing::TestWithParam<words_row> {
+class cordon_words : public testing::TestWithParam<updates_row> {
 protected:
     cordon_words()
         : forwarding_(requests_, failure_domain_id("z"), {}, 1), state_(forwarding_, records_) {}
@@ -83,19 +83,19 @@
         return out;
     }
 
-    void take(const word& said) {
+    void apply(const cordon_update& update) {
         std::vector<keyed_record> records;
-        cordoned_domains told;
-        told.position = said.position;
-        for (const std::string& name : split(said.domains)) {
+        cordoned_domains peer_cordons;
+        peer_cordons.position = update.position;
+        for (const std::string& name : split(update.domains)) {
             const bool restored = name.starts_with('-');
             records.push_back({"evacuate/" + name.substr(restored ? 1 : 0), restored ? "" : "{}"});
-            told.domains.emplace(name);
+            peer_cordons.domains.emplace(name);
         }
-        if (said.from == "told") {
-            state_.apply_peer_cordons(told);
+        if (update.from == "told") {
+            state_.apply_peer_cordons(peer_cordons);
         } else {
-            state_.apply_cordon_records(records, said.from == "all", said.position);
+            state_.apply_cordon_records(records, update.from == "all", update.position);
         }
     }
 
@@ -108,45 +108,45 @@
 INSTANTIATE_TEST_SUITE_P(
     table, cordon_words,
     testing::Values(
-        words_row{"first_read", {{"all", 3, "norra"}}, "norra", 3},
-        words_row{"order_read", {{"all", 3, ""}, {"read", 4, "norra"}}, "norra", 4},
-        words_row{"two_orders", {{"all", 3, "norra"}, {"read", 4, "verket"}}, "norra,verket", 4},
-        words_row{"restored", {{"all", 3, "norra"}, {"read", 4, "-norra"}}, "", 4},
-        words_row{"restored_one_of_two",
-                  {{"all", 4, "norra,verket"}, {"read", 5, "-norra"}},
-                  "verket",
-                  5},
-        words_row{"ordered_again",
-                  {{"all", 3, "norra"}, {"read", 4, "-norra"}, {"read", 5, "norra"}},
-                  "norra",
-                  5},
-        // The record has gone from the history; the newest of all keys decide.
-        words_row{"history_forgotten", {{"all", 3, "norra"}, {"all", 9, ""}}, "", 9},
-        words_row{"history_forgotten_order_holds",
-                  {{"all", 3, "norra"}, {"all", 9, "norra"}},
-                  "norra",
-                  9},
-        words_row{"told_of_an_order", {{"all", 3, ""}, {"told", 4, "norra"}}, "norra", 4},
-        words_row{"told_of_the_end", {{"all", 3, "norra"}, {"told", 4, ""}}, "", 4},
-        words_row{"told_by_one_that_lags", {{"read", 5, "norra"}, {"told", 4, ""}}, "norra", 5},
-        words_row{"old_order_told_after_the_end", {{"read", 5, ""}, {"told", 4, "norra"}}, "", 5},
-        words_row{
+        updates_row{"first_read", {{"all", 3, "norra"}}, "norra", 3},
+        updates_row{"order_read", {{"all", 3, ""}, {"read", 4, "norra"}}, "norra", 4},
+        updates_row{"two_orders", {{"all", 3, "norra"}, {"read", 4, "verket"}}, "norra,verket", 4},
+        updates_row{"restored", {{"all", 3, "norra"}, {"read", 4, "-norra"}}, "", 4},
+        updates_row{"restored_one_of_two",
+                    {{"all", 4, "norra,verket"}, {"read", 5, "-norra"}},
+                    "verket",
+                    5},
+        updates_row{"ordered_again",
+                    {{"all", 3, "norra"}, {"read", 4, "-norra"}, {"read", 5, "norra"}},
+                    "norra",
+                    5},
+        // The history no longer has the record; the newest records of all keys decide.
+        updates_row{"history_forgotten", {{"all", 3, "norra"}, {"all", 9, ""}}, "", 9},
+        updates_row{"history_forgotten_order_holds",
+                    {{"all", 3, "norra"}, {"all", 9, "norra"}},
+                    "norra",
+                    9},
+        updates_row{"told_of_an_order", {{"all", 3, ""}, {"told", 4, "norra"}}, "norra", 4},
+        updates_row{"told_of_the_end", {{"all", 3, "norra"}, {"told", 4, ""}}, "", 4},
+        updates_row{"told_by_one_that_lags", {{"read", 5, "norra"}, {"told", 4, ""}}, "norra", 5},
+        updates_row{"old_order_told_after_the_end", {{"read", 5, ""}, {"told", 4, "norra"}}, "", 5},
+        updates_row{
             "told_by_one_that_knows_nothing", {{"all", 3, "norra"}, {"told", 0, ""}}, "norra", 3},
-        words_row{"store_went_back", {{"read", 9, "norra"}, {"all", 4, ""}}, "", 4}),
+        updates_row{"store_went_back", {{"read", 9, "norra"}, {"all", 4, ""}}, "", 4}),
     [](const auto& info) { return info.param.name; });
 
-// An order that an instance keeps for lack of a newer word, or loses to an older one: requests
-// reach a failure domain that is out of service, or one that is back stands idle.
+// Guards against an instance that ignores a newer update or applies an older one: requests would
+// reach a failure domain that is out of service, or one that is back would stay idle.
 TEST_P(cordon_words, the_newer_position_wins_whoever_tells) {
-    for (const word& said : GetParam().words) {
-        take(said);
+    for (const cordon_update& update : GetParam().updates) {
+        apply(update);
     }
     EXPECT_EQ(names_of(state_.cordons().domains), GetParam().cordoned);
     EXPECT_EQ(names_of(forwarding_.registry.cordoned()), GetParam().cordoned);
     EXPECT_EQ(state_.cordons().position, GetParam().position);
 }
 
-// Keys that say nothing are counted once, however often they are read.
+// Keys with no meaning are counted as rejected once, however often they are read.
 TEST_F(cordon_words, unknown_keys_are_counted_once) {
     const std::vector<keyed_record> records = {{"evacuate/", "{}"}, {"stop/norra", "{}"}};
     for (int i = 0; i < 3; ++i) {
@@ -155,9 +155,10 @@
     EXPECT_EQ(state_.rejected_documents(), 2u);
 }
 
-// --- what it keeps from being sent
+// --- which requests it stops
 
-// The same server is usable again once its failure domain is back, whatever was learned meanwhile.
+// A server is usable again once its failure domain is back in service, whatever was learned in the
+// meantime.
 TEST(cordoned_registry, servers_take_no_work_until_their_domain_is_back) {
     backend_registry registry;
     registry.learn(backend("a", "norra"), start);
@@ -188,8 +189,8 @@
                                          route_row{"resumable", "label", "engines"}),
                          [](const auto& info) { return info.param.name; });
 
-// All servers of a service are out of service: a caller that is kept waiting would be told the same
-// at its deadline.
+// All servers of a service are out of service. The caller is refused at once, because waiting would
+// only delay the same answer until its deadline.
 TEST_P(cordoned_service, is_refused_at_once) {
     forwarding_fixture f;
     scripted_backend& server = f.add("i-1", answering("x"), GetParam().service);
@@ -201,8 +202,8 @@
     EXPECT_TRUE(server.requests().empty());
 }
 
-// A server resets the connection while its failure domain is taken out of service. The second send
-// of the request would reach that domain.
+// A server resets the connection while its failure domain is taken out of service. The retry of the
+// request must not go to that domain.
 TEST(cordoned_send, a_further_send_goes_to_another_domain) {
     forwarding_fixture f;
     forwarding_state& state = f.state();
@@ -221,7 +222,7 @@
     EXPECT_NE(view->status(), 200);
 }
 
-// --- how it becomes known
+// --- how it reaches all instances
 
 constexpr int domains = 3;
 constexpr int instances_a_domain = 4;
@@ -235,7 +236,7 @@
                               {"i-1", R"({"service":"s","address":"10.0.0.1:80","zone":"norra",
 "version":"v","slots":6,"state":"ready","cold_left_ms":0,"sequence":1})"});
         for (const auto& it : group_.all) {
-            it->spread->start();
+            it->distributor->start();
             it->news->start();
             it->follower.start(*it->news);
         }
@@ -251,7 +252,8 @@
                        !it->forwarding.registry.takes_work(backend_id("i-1"));
             }));
     }
-    /// How long until so many have heard of it; at most 3 s.
+    /// Runs until exactly `instances` instances apply the cordon, at most 3 s; returns the time
+    /// taken.
     duration time_until(int instances) {
         const time_point began = monotonic_now();
         while (cordoning() != instances && monotonic_now() - began < seconds(3)) {
@@ -273,7 +275,7 @@
     std::set<const peer_instance*> dead_;
 };
 
-// The order and its end reach all instances by the readers' word, without a call of their own.
+// The readers announce the cordon and its end to all instances; the others don't call the store.
 TEST_F(cordon_news, all_learn_an_order_and_its_end_from_the_readers) {
     const int calls = documents_read_by_others();
     write("evacuate/norra", "{}");
@@ -285,7 +287,7 @@
 
 struct loss_row {
     std::string name;
-    /// Places in the order of those that read for all.
+    /// Positions in the order of instances that read the store for all.
     std::vector<std::size_t> turned_away;
     std::vector<std::size_t> deaf;
     std::vector<std::size_t> dead;
@@ -303,15 +305,16 @@
                     loss_row{"readers_dead", {}, {}, {0, 1}}),
     [](const auto& info) { return info.param.name; });
 
-// Whoever the store turns away, or hears no reader, or loses its readers, learns of the order from
-// the substitutes, the store or a peer, well within the time after which requests may not arrive.
+// An instance that the store turns away, that receives no announcements of readers, or whose
+// readers died, learns of the cordon from substitutes, the store or a peer, well before the time
+// after which no request may reach the failure domain.
 TEST_P(cordon_losses, are_made_up_for) {
     const auto order = group_.owners("store");
     for (const std::size_t i : GetParam().turned_away) {
         order[i]->store.turned_away = true;
     }
     for (const std::size_t i : GetParam().deaf) {
-        order[i]->hears_no_news = true;
+        order[i]->drops_store_news = true;
     }
     for (const std::size_t i : GetParam().dead) {
         group_.kill(*order[i]);
@@ -322,11 +325,11 @@
     EXPECT_LT(time_until(all_instances - dead), milliseconds(2'500));
 }
 
-// An instance of the version before tells how old its view of configurations is, and nothing of
-// failure domains. Taken for a fresh view of both, an order is never read by anybody.
+// An instance of the previous release announces the age of its configuration view, and nothing
+// about cordons. If that counted as a fresh view of both, no instance would ever read the cordon.
 TEST_F(cordon_news, a_teller_without_cordons_keeps_nobody_from_reading) {
     peer_instance& other = *group_.owners("store").back();
-    other.hears_no_news = true;
+    other.drops_store_news = true;
     wire::StoreNewsT old_news;
     old_news.configuration_version = 1;
     old_news.documents_age_ms = 0;
--- a/test/platform/large_document.h
+++ b/test/platform/large_document.h
@@ -6,7 +6,8 @@
 
 namespace bamboostream::test {
 
-/// A configuration with so many routes, as operators write them on the users' platform.
+/// Returns a configuration with `routes` routes, of the form that operators write. The same seed
+/// gives the same routes, and documents that differ only in `routes` share their first ones.
 std::string large_document_text(std::int64_t version, std::size_t routes, std::uint64_t seed);
 
 } // namespace bamboostream::test
--- a/test/platform/narrow_link.cpp
+++ b/test/platform/narrow_link.cpp
@@ -19,10 +19,10 @@
 
 namespace {
 
-/// What goes over the link at a time.
+/// Number of bytes forwarded at a time.
 constexpr std::size_t packet_bytes = 4 * 1024;
-/// What waits inside each socket is as little as the system allows, so that whoever sends faster
-/// than the link carries notices.
+/// Socket buffers are small, so that senders that exceed the speed of the link experience
+/// backpressure.
 constexpr int socket_buffer_bytes = 16 * 1024;
 
 auto token(error_code& ec) {
@@ -37,15 +37,15 @@
 
 } // namespace
 
-narrow_link::narrow_link(asio::io_context& context, std::string target, double megabits_a_second)
-    : line_(std::make_shared<line>(line{megabits_a_second * 1e6 / 8.0})),
+narrow_link::narrow_link(asio::io_context& context, std::string target, double megabits_per_second)
+    : state_(std::make_shared<link_state>(link_state{megabits_per_second * 1e6 / 8.0})),
       acceptor_(std::make_shared<tcp::acceptor>(context)) {
     std::string why;
     auto acceptor = listen_on(context, "127.0.0.1:0", why);
     *acceptor_ = std::move(acceptor.value());
     acceptor_->set_option(asio::socket_base::receive_buffer_size(socket_buffer_bytes));
     address_ = to_text(acceptor_->local_endpoint());
-    asio::co_spawn(context, accept_all(acceptor_, line_, std::move(target)), asio::detached);
+    asio::co_spawn(context, accept_all(acceptor_, state_, std::move(target)), asio::detached);
 }
 
 narrow_link::~narrow_link() {
@@ -54,38 +54,39 @@
 }
 
 asio::awaitable<void> narrow_link::accept_all(std::shared_ptr<tcp::acceptor> acceptor,
-                                              std::shared_ptr<line> shared, std::string target) {
+                                              std::shared_ptr<link_state> shared,
+                                              std::string target) {
     error_code ec;
     while (true) {
-        auto near = std::make_shared<tcp::socket>(acceptor->get_executor());
-        co_await acceptor->async_accept(*near, token(ec));
+        auto client = std::make_shared<tcp::socket>(acceptor->get_executor());
+        co_await acceptor->async_accept(*client, token(ec));
         if (ec) {
             co_return;
         }
-        asio::co_spawn(acceptor->get_executor(), connect(std::move(near), shared, target),
+        asio::co_spawn(acceptor->get_executor(), connect(std::move(client), shared, target),
                        asio::detached);
     }
 }
 
-asio::awaitable<void> narrow_link::connect(socket_ptr near, std::shared_ptr<line> shared,
+asio::awaitable<void> narrow_link::connect(socket_ptr client, std::shared_ptr<link_state> shared,
                                            std::string target) {
     error_code ec;
-    auto far = std::make_shared<tcp::socket>(near->get_executor());
-    co_await far->async_connect(to_endpoint(target).value(), token(ec));
+    auto server = std::make_shared<tcp::socket>(client->get_executor());
+    co_await server->async_connect(to_endpoint(target).value(), token(ec));
     if (ec) {
-        near->close(ec);
+        client->close(ec);
         co_return;
     }
-    for (const socket_ptr& socket : {near, far}) {
+    for (const socket_ptr& socket : {client, server}) {
         limit_buffers(*socket);
         socket->set_option(tcp::no_delay(true), ec);
     }
-    asio::co_spawn(near->get_executor(), carry(near, far, shared), asio::detached);
-    co_await carry(far, near, shared);
+    asio::co_spawn(client->get_executor(), forward_bytes(client, server, shared), asio::detached);
+    co_await forward_bytes(server, client, shared);
 }
 
-asio::awaitable<void> narrow_link::carry(socket_ptr from, socket_ptr to,
-                                         std::shared_ptr<line> shared) {
+asio::awaitable<void> narrow_link::forward_bytes(socket_ptr from, socket_ptr to,
+                                                 std::shared_ptr<link_state> shared) {
     error_code ec;
     std::array<char, packet_bytes> packet{};
     while (true) {
@@ -93,15 +94,15 @@
         if (ec) {
             break;
         }
-        const std::chrono::duration<double> needs(static_cast<double>(count) /
-                                                  shared->bytes_a_second);
-        shared->free_from = std::max(shared->free_from, monotonic_now()) +
-                            std::chrono::duration_cast<duration>(needs);
+        const std::chrono::duration<double> transfer_time(static_cast<double>(count) /
+                                                          shared->bytes_per_second);
+        shared->free_at = std::max(shared->free_at, monotonic_now()) +
+                          std::chrono::duration_cast<duration>(transfer_time);
         shared->carried += count;
-        while (shared->carried > shared->most && from->is_open()) {
+        while (shared->carried > shared->max_bytes && from->is_open()) {
             co_await pause_for(milliseconds(50));
         }
-        co_await pause_for(shared->free_from - monotonic_now());
+        co_await pause_for(shared->free_at - monotonic_now());
         co_await asio::async_write(*to, asio::buffer(packet.data(), count), token(ec));
         if (ec) {
             break;
--- a/test/platform/news_relay_test.cpp
+++ b/test/platform/news_relay_test.cpp
@@ -1,4 +1,5 @@
-// What the readers of the store tell reaches many instances through relays, over real links.
+// Tests, over real connections, that the announcements of store readers reach many instances
+// through relays.
 
 #include "test/platform/peer_group.h"
 
@@ -12,8 +13,9 @@
 
 constexpr int domains = 3;
 constexpr int instances_a_domain = 4;
-/// Well before a view that was fresh at the loss is old and its substitute reads, after 650 ms.
-constexpr milliseconds at_once{300};
+/// Well below 650 ms, after which a view that was fresh when the relay was lost counts as old and a
+/// substitute reads the store.
+constexpr milliseconds max_failover_time{300};
 
 class news_relay : public testing::Test {
 protected:
@@ -21,7 +23,7 @@
         add_server("i-0");
         write_configuration(1);
         for (const auto& it : group_.all) {
-            it->spread->start();
+            it->distributor->start();
             it->news->start();
             it->follower.start(*it->news);
         }
@@ -46,7 +48,7 @@
     bool knows(const peer_instance& it, const std::string& id) const {
         return it.forwarding.registry.find(backend_id(id)) != nullptr;
     }
-    /// How many know the server, without the one that is lost.
+    /// Returns how many instances know the server, not counting the lost one.
     int knowing(const std::string& id) const {
         return static_cast<int>(
             std::count_if(group_.all.begin(), group_.all.end(),
@@ -69,8 +71,8 @@
     const peer_instance* lost_ = nullptr;
 };
 
-// A server registers. The readers hear it from the store, and everybody else from them and their
-// relays, without a call of its own.
+// A server registers. The readers learn of it from the store, and all other instances from the
+// readers and their relays, without calling the store.
 TEST_F(news_relay, all_learn_without_reading) {
     const std::vector<peer_instance*> order = group_.owners("store");
     const int before = calls();
@@ -83,7 +85,7 @@
     EXPECT_GT(of_readers, 0);
 }
 
-// The operator writes a configuration. It is handed on from peer to peer; only the readers call the
+// The operator writes a configuration. It is passed from peer to peer; only the readers call the
 // store.
 TEST_F(news_relay, a_configuration_is_handed_on) {
     const std::vector<peer_instance*> order = group_.owners("store");
@@ -99,7 +101,8 @@
     EXPECT_EQ(calls() - order[0]->store.calls() - order[1]->store.calls(), before);
 }
 
-/// What has become of the relay of the first reader's word in a failure domain.
+/// How the relay of the first reader's announcements in a failure domain is lost: it dies, or it no
+/// longer receives announcements.
 struct relay_loss {
     std::string name;
     bool dies;
@@ -111,11 +114,12 @@
                          testing::Values(relay_loss{"dead", true}, relay_loss{"deaf", false}),
                          [](const auto& info) { return info.param.name; });
 
-// A relay dies, or hears the reader no more though all else reaches it, so that nobody suspects it.
-// Those of its failure domain still hear the second reader, by another relay, and learn of what
-// changes before their views are old and they read themselves.
+// A relay dies, or stops receiving the reader's announcements while all other frames reach it, so
+// that failure detection doesn't suspect it. The instances of its failure domain still receive the
+// second reader's announcements through another relay. They learn of changes before their views are
+// old and they read the store themselves.
 TEST_P(lost_relay, is_made_up_for) {
-    // The readers tell their own failure domains themselves.
+    // The readers announce directly in their own failure domains.
     std::set<std::string> without_reader = group_.all.front()->membership->failure_domains();
     for (const peer_instance* reader : {group_.owners("store")[0], group_.owners("store")[1]}) {
         without_reader.erase(reader->membership->own_failure_domain().text());
@@ -130,18 +134,18 @@
         group_.run_for(milliseconds(5));
     }
     lost_ = relay;
-    relay->hears_no_news = true;
+    relay->drops_store_news = true;
     if (GetParam().dies) {
         group_.kill(*relay);
     }
     add_server("i-1");
-    const time_point told = monotonic_now();
+    const time_point added_at = monotonic_now();
     const int others = domains * instances_a_domain - 1;
-    while (knowing("i-1") < others && monotonic_now() < told + seconds(3)) {
+    while (knowing("i-1") < others && monotonic_now() < added_at + seconds(3)) {
         group_.run_for(milliseconds(10));
     }
     EXPECT_EQ(knowing("i-1"), others);
-    EXPECT_LT(monotonic_now() - told, at_once);
+    EXPECT_LT(monotonic_now() - added_at, max_failover_time);
 }
 
 } // namespace
--- a/test/platform/owner_scheduler_test.cpp
+++ b/test/platform/owner_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// One instance chooses the engines of a service for all others, over real links on loopback.
+// Tests, over loopback connections, that one instance chooses the engines of a service for all.
 
 #include "bamboostream/src/Gateway/peer_frames.h"
 #include "test/platform/decision_helpers.h"
@@ -66,18 +66,18 @@
     peer_instance& deputy() { return *order_[1]; }
     peer_instance& asker() { return *order_[2]; }
 
-    static int asked(const peer_instance& it) {
-        const auto found = it.heard.find(wire::Message::AdmitRequest);
-        return found == it.heard.end() ? 0 : found->second;
+    static int admit_requests(const peer_instance& it) {
+        const auto found = it.received_frames.find(wire::Message::AdmitRequest);
+        return found == it.received_frames.end() ? 0 : found->second;
     }
 
     peer_group group_{4, 1};
-    /// The owner of the service, its deputy, and the rest.
+    /// The owner of the service, its deputy, and the other instances.
     std::vector<peer_instance*> order_;
 };
 
-// Two instances ask one right after the other, before either has told of its work. The owner counts
-// what it gave the first, so no engine is given twice while others are idle.
+// Two instances ask in quick succession, before either has reported its work. The owner counts each
+// choice at once, so no engine is chosen twice while others are idle.
 TEST_F(owner_scheduler_test, counts_each_choice_at_once) {
     std::set<std::string> given;
     for (int i = 0; i < engine_count / 2; ++i) {
@@ -86,22 +86,23 @@
         EXPECT_EQ(choice->result, admission_result::admit);
         EXPECT_TRUE(given.insert(choice->engine->id.text()).second);
     }
-    EXPECT_EQ(asked(owner()), engine_count / 2);
-    EXPECT_EQ(asked(deputy()), 0);
+    EXPECT_EQ(admit_requests(owner()), engine_count / 2);
+    EXPECT_EQ(admit_requests(deputy()), 0);
 }
 
-// What an instance tells replaces what the owner expected of it, so nothing is counted twice.
+// The work that an instance reports replaces the work that the owner expected of it, so nothing is
+// counted twice.
 TEST_F(owner_scheduler_test, a_telling_replaces_what_was_expected) {
     const auto choice = ask(asker(), request());
     ASSERT_TRUE(choice && choice->engine);
     const backend_id& id = choice->engine->id;
     EXPECT_EQ(owner().forwarding.loads.total(id, monotonic_now()).memory_tokens, 9'000);
-    const std::vector<backend_work_entry> told = {{backend_hash(id), {1, 9'100, 0}}};
-    owner().forwarding.loads.hear(asker().address(), told, monotonic_now());
+    const std::vector<backend_work_entry> reported = {{backend_hash(id), {1, 9'100, 0}}};
+    owner().forwarding.loads.hear(asker().address(), reported, monotonic_now());
     EXPECT_EQ(owner().forwarding.loads.total(id, monotonic_now()).memory_tokens, 9'100);
 }
 
-// All engines are full. The caller is refused by the owner's word, as it would be by one's own.
+// All engines are full. The owner's answer refuses the caller, as a local decision would.
 TEST_F(owner_scheduler_test, says_when_no_engine_has_room) {
     for (int i = 0; i < engine_count; ++i) {
         owner().forwarding.loads.add(backend_id(fmt::format("i-{}", i)), {9, 60'000, 0});
@@ -111,20 +112,21 @@
     EXPECT_EQ(choice->result, admission_result::memory_full);
 }
 
-// The owner is gone and its death not known yet. The deputy answers, and the next request doesn't
-// wait for the owner once more.
+// The owner has crashed, which is not detected yet. The deputy answers, and the next request
+// doesn't wait for the owner again.
 TEST_F(owner_scheduler_test, the_deputy_answers_for_a_silent_owner) {
     group_.kill(owner());
     EXPECT_TRUE(ask(asker(), request()));
-    EXPECT_EQ(asked(deputy()), 1);
+    EXPECT_EQ(admit_requests(deputy()), 1);
     const time_point before = monotonic_now();
     EXPECT_TRUE(ask(asker(), request()));
     EXPECT_LT(monotonic_now() - before, milliseconds(50));
-    EXPECT_EQ(asked(deputy()), 2);
+    EXPECT_EQ(admit_requests(deputy()), 2);
     EXPECT_EQ(asker().forwarding.counters.owner_timeouts, 1u);
 }
 
-// Nobody answers: the instance chooses by itself, after two short waits at most.
+// Neither the owner nor the deputy answers. After at most two short timeouts the scheduler returns
+// no choice, and the instance chooses an engine by itself.
 TEST_F(owner_scheduler_test, without_an_answer_each_chooses_by_itself) {
     group_.kill(owner());
     group_.kill(deputy());
@@ -133,7 +135,8 @@
     EXPECT_LT(monotonic_now() - before, milliseconds(300));
 }
 
-// The owner's view of the engines is older than the asker's, which knows that the engine leaves.
+// The owner's view of the engines is older than the asker's, which knows that the chosen engine is
+// leaving.
 TEST_F(owner_scheduler_test, an_engine_that_is_known_to_leave_is_not_taken) {
     for (int i = 0; i < engine_count; ++i) {
         asker().forwarding.registry.mark_leaving(backend_id(fmt::format("i-{}", i)));
@@ -141,13 +144,13 @@
     EXPECT_FALSE(ask(asker(), request()));
 }
 
-// The owner hasn't heard yet that a failure domain is out of service, the asker has.
+// The asker knows that a failure domain is out of service, and the owner doesn't know it yet.
 TEST_F(owner_scheduler_test, an_engine_of_a_cordoned_domain_is_not_taken) {
     asker().forwarding.registry.set_cordoned({failure_domain_id("norra")});
     EXPECT_FALSE(ask(asker(), request()));
 }
 
-/// Engines that bear four requests a second while they are cold.
+/// Engines that can take four requests per second while they are cold.
 class cold_engines : public owner_scheduler_test {
 protected:
     cold_engines() {
@@ -180,8 +183,8 @@
     }
 };
 
-// An engine is back cold and idle while the others are full; each request finds it the best. It
-// gets half of what it bears, and the rest go to warm ones.
+// An engine returns cold and idle while the others are loaded, so every request ranks it best. It
+// gets half of the requests that it can take; the rest go to warm engines.
 TEST_F(cold_engines, an_idle_one_gets_its_part) {
     make_cold(1);
     for (int i = 1; i < engine_count; ++i) {
@@ -190,7 +193,7 @@
     EXPECT_EQ(given("i-0", 10), 2);
 }
 
-// All are cold: every one has its part, and who comes beyond that is refused, not queued there.
+// All engines are cold. Each one gets its part; requests beyond that are refused instead of queued.
 TEST_F(cold_engines, all_together_have_the_sum_of_their_parts) {
     make_cold(engine_count);
     int placed = 0;
@@ -201,8 +204,8 @@
     EXPECT_EQ(placed, 2 * engine_count);
 }
 
-// An engine refuses at once whatever it is sent, so it looks idle. Those that sent there tell the
-// owner with their work, and callers are sent elsewhere until it serves again.
+// An engine fails every request at once and therefore looks idle. Instances report its failures to
+// the owner along with their work, and requests go to other engines until it serves again.
 TEST_F(owner_scheduler_test, an_engine_that_fails_others_gets_little) {
     const backend_id failing("i-7");
     for (const auto& it : group_.all) {
@@ -213,22 +216,22 @@
             }
         }
     }
-    const auto told_by_asker = [&](bool succeeded) {
+    const auto report_from_asker = [&](bool succeeded) {
         asker().forwarding.engine_outcomes.note(failing, succeeded);
         owner().owner->hear(to_wire({}, asker().forwarding.engine_outcomes.take()),
                             asker().address());
     };
     EXPECT_EQ(ask(asker(), request())->engine->id, failing);
     for (int i = 0; i < 6; ++i) {
-        told_by_asker(false);
+        report_from_asker(false);
     }
     for (int i = 0; i < 10; ++i) {
         EXPECT_NE(ask(*order_[3], request())->engine->id, failing);
     }
 }
 
-// Whoever passes a generation on sees how long its prompt took to be read, and tells those that
-// choose engines.
+// An instance that forwards a generation measures how long the engine took to process the prompt,
+// and reports it to the owner.
 TEST_F(owner_scheduler_test, reading_is_told_to_the_owner) {
     const backend_id slow("i-3");
     for (int i = 0; i < 30; ++i) {
@@ -240,10 +243,10 @@
     EXPECT_LT(rates.tokens_per_ms(service_id("s"), backend_hash(slow)), 2.0);
 }
 
-// Work is told to the owner and its deputy only, and by these to each other.
+// Work is reported only to the owner and its deputy, which report theirs to each other.
 TEST_F(owner_scheduler_test, only_the_owners_are_told_of_work) {
-    const std::vector<std::string> told = asker().owner->load_report_recipients();
-    EXPECT_EQ((std::set<std::string>(told.begin(), told.end())),
+    const std::vector<std::string> reported = asker().owner->load_report_recipients();
+    EXPECT_EQ((std::set<std::string>(reported.begin(), reported.end())),
               (std::set<std::string>{owner().address(), deputy().address()}));
     EXPECT_EQ(owner().owner->load_report_recipients(),
               std::vector<std::string>{deputy().address()});
--- a/test/platform/peer_group.cpp
+++ b/test/platform/peer_group.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Addresses at which other instances may be found.
+/// A fixed list of addresses at which to look for other instances.
 class fixed_seeds final : public instance_list {
 public:
     explicit fixed_seeds(std::vector<std::string> seeds) : seeds_(std::move(seeds)) {}
@@ -30,7 +30,7 @@
 asio::awaitable<std::optional<record_page>> shared_store::newest(record_topic topic,
                                                                  store_failure& why) {
     ++calls_;
-    whole_documents_ += topic == record_topic::operator_documents ? 1 : 0;
+    full_document_reads_ += topic == record_topic::operator_documents ? 1 : 0;
     if (turned_away) {
         why.set(store_error::unavailable, "turned away");
         co_return std::nullopt;
@@ -88,11 +88,11 @@
     membership = std::make_unique<membership_service>(
         context, links, std::make_unique<fixed_seeds>(std::move(seeds)), self, times,
         stable_hash(self.id.address));
-    spread = std::make_unique<configuration_distributor>(context, links, *membership, state);
-    spread->set_link_speed(link_mbps);
-    spread->set_pause_condition([this] { return follower.is_reading_configuration(); });
+    distributor = std::make_unique<configuration_distributor>(context, links, *membership, state);
+    distributor->set_link_speed(link_mbps);
+    distributor->set_pause_condition([this] { return follower.is_reading_configuration(); });
     news = std::make_unique<store_update_exchange>(context, links, *membership, forwarding, state,
-                                                   follower, duty, *spread);
+                                                   follower, read_policy, *distributor);
     state.set_reader(reader);
     state.on_cordon_change([this] { news->announce_cordons(); });
     state.on_backend_change(
@@ -101,18 +101,18 @@
     quarantine =
         std::make_unique<quarantine_exchange>(context, links, *membership, forwarding.quarantine);
     forwarding.quarantine.on_evidence([this](const crash_evidence& it) { quarantine->note(it); });
-    peers = std::make_unique<peer_exchange>(context, links, *membership, forwarding, *news, *spread,
-                                            *owner, *quarantine);
+    peers = std::make_unique<peer_exchange>(context, links, *membership, forwarding, *news,
+                                            *distributor, *owner, *quarantine);
     membership->start();
 }
 
 asio::awaitable<std::unique_ptr<wire::FrameT>>
 peer_instance::handle(std::unique_ptr<wire::FrameT> frame) {
-    ++heard[frame->message.type];
-    if (hears_no_news && frame->message.type == wire::Message::StoreNews) {
+    ++received_frames[frame->message.type];
+    if (drops_store_news && frame->message.type == wire::Message::StoreNews) {
         co_return nullptr;
     }
-    if (hears_no_harm_reports && frame->message.type == wire::Message::HarmReport) {
+    if (drops_harm_reports && frame->message.type == wire::Message::HarmReport) {
         co_return nullptr;
     }
     co_return co_await peers->handle(std::move(frame));
--- a/test/platform/peer_group.h
+++ b/test/platform/peer_group.h
@@ -14,7 +14,7 @@
 
 namespace bamboostream::test {
 
-/// Records that all instances of a group read, by topic.
+/// The store's records, by topic, which all instances of a group read.
 class shared_records {
 public:
     void append(record_topic topic, keyed_record record) {
@@ -30,7 +30,7 @@
     std::map<record_topic, std::vector<keyed_record>> log_;
 };
 
-/// One instance's client of the shared records.
+/// One instance's store client, which reads the shared records.
 class shared_store final : public record_store {
 public:
     explicit shared_store(const shared_records& records) : records_(records) {}
@@ -38,22 +38,22 @@
                                                               store_failure& why) override;
     boost::asio::awaitable<std::optional<record_page>>
     read(record_topic topic, std::int64_t from, milliseconds wait, store_failure& why) override;
-    /// Calls since the group began.
+    /// Number of calls since the group was created.
     int calls() const { return calls_; }
-    /// Times that the newest documents were read, all of them.
-    int whole_documents() const { return whole_documents_; }
-    /// The store answers this instance no more.
+    /// Number of reads of all newest operator documents.
+    int full_document_reads() const { return full_document_reads_; }
+    /// Whether the store fails every call of this instance.
     bool turned_away = false;
 
 private:
     const shared_records& records_;
     int calls_ = 0;
-    int whole_documents_ = 0;
+    int full_document_reads_ = 0;
 };
 
-/// As much of a gateway as talking to its peers takes, on loopback.
+/// The parts of a gateway that communicate with its peers, on loopback.
 struct peer_instance {
-    /// `link_mbps`: speed of its link, in Mbit/s; zero for no limit.
+    /// `link_mbps` is the speed of its link in Mbit/s; zero for no limit.
     peer_instance(boost::asio::io_context& context, const shared_records& records,
                   const std::string& failure_domain, std::vector<std::string> seeds,
                   double link_mbps);
@@ -64,39 +64,40 @@
     platform::request_translation requests;
     platform::record_translation documents;
     link_hub links;
-    /// Null when its speed has no limit.
+    /// Null when the speed is not limited.
     std::unique_ptr<narrow_link> link;
     forwarding_state forwarding;
     deployment_state state;
     configuration_reader reader;
-    store_read_policy duty;
+    store_read_policy read_policy;
     shared_store store;
     store_follower follower;
     std::unique_ptr<membership_service> membership;
-    std::unique_ptr<configuration_distributor> spread;
+    std::unique_ptr<configuration_distributor> distributor;
     std::unique_ptr<store_update_exchange> news;
     std::unique_ptr<owner_scheduler> owner;
     std::unique_ptr<quarantine_exchange> quarantine;
     std::unique_ptr<peer_exchange> peers;
-    /// What readers of the store tell doesn't arrive, all else does.
-    bool hears_no_news = false;
-    /// Evidence that others announce doesn't arrive.
-    bool hears_no_harm_reports = false;
-    /// Frames heard, by kind.
-    std::map<wire::Message, int> heard;
+    /// Whether announcements of store readers are dropped; all other frames arrive.
+    bool drops_store_news = false;
+    /// Whether announced evidence against requests is dropped.
+    bool drops_harm_reports = false;
+    /// Number of received frames, by type, including dropped ones.
+    std::map<wire::Message, int> received_frames;
 };
 
-/// Instances that know each other, of which each counts as one of many.
+/// Instances that have discovered each other. Each announces directly to one peer at most and uses
+/// relays for the others, as in a large deployment.
 class peer_group {
 public:
-    /// `count` instances in each of `domains` failure domains, each behind a link of so many
-    /// Mbit/s; zero for no limit.
+    /// Starts `count` instances in each of `domains` failure domains, each behind a link of
+    /// `link_mbps` Mbit/s (zero for no limit), and runs until all know each other, at most 10 s.
     peer_group(int domains, int count, double link_mbps = 0.0);
     void run_for(milliseconds time);
-    /// In the order in which they own `key`.
+    /// Returns all instances, in the order in which they own `key`.
     std::vector<peer_instance*> owners(std::string_view key) const;
     peer_instance& at(const std::string& address) const;
-    /// The process ends: nothing is heard of it again.
+    /// Simulates a crash: closes all links of the instance.
     void kill(peer_instance& instance);
 
     boost::asio::io_context context{1};
--- a/test/platform/quarantine_exchange_test.cpp
+++ b/test/platform/quarantine_exchange_test.cpp
@@ -1,4 +1,4 @@
-// Evidence against requests that end backend servers, between instances.
+// Tests the exchange, between instances, of evidence against requests that crash backend servers.
 
 #include "test/platform/peer_group.h"
 
@@ -10,7 +10,7 @@
 
 constexpr request_digest harmful{1, 2};
 
-void find_evidence(peer_instance& by, std::uint64_t server, milliseconds ago) {
+void add_evidence(peer_instance& by, std::uint64_t server, milliseconds ago) {
     const time_point now = monotonic_now();
     const crash_evidence evidence{harmful, server, 7, now - ago, true, false};
     by.forwarding.quarantine.add_local_evidence(evidence, now);
@@ -28,14 +28,14 @@
     }
 }
 
-// Guards against instances that count only the ends which they have seen themselves.
+// Guards against instances that count only the crashes which they have seen themselves.
 TEST(quarantine_exchange_test, ends_seen_by_three_instances_hold_the_request_at_all) {
     peer_group group(3, 3);
     start_all(group);
     group.run_for(milliseconds(20));
-    find_evidence(*group.all[0], 1, milliseconds(1'500));
-    find_evidence(*group.all[4], 2, milliseconds(800));
-    find_evidence(*group.all[8], 3, milliseconds(0));
+    add_evidence(*group.all[0], 1, milliseconds(1'500));
+    add_evidence(*group.all[4], 2, milliseconds(800));
+    add_evidence(*group.all[8], 3, milliseconds(0));
     group.run_for(milliseconds(60));
     EXPECT_EQ(holding(group), group.all.size());
 }
@@ -44,25 +44,25 @@
 TEST(quarantine_exchange_test, an_instance_that_missed_the_announcement_asks_for_it) {
     peer_group group(2, 2);
     for (std::uint64_t server = 1; server <= 3; ++server) {
-        find_evidence(*group.all[0], server, milliseconds(500 * server));
+        add_evidence(*group.all[0], server, milliseconds(500 * server));
     }
     EXPECT_EQ(holding(group), 1u);
     start_all(group);
-    // What was found before the start is announced now; the last instance hears none of that.
-    group.all.back()->hears_no_harm_reports = true;
+    // The evidence found before the start is announced now; the last instance receives none of it.
+    group.all.back()->drops_harm_reports = true;
     group.run_for(milliseconds(100));
     EXPECT_EQ(holding(group), group.all.size() - 1);
-    group.all.back()->hears_no_harm_reports = false;
+    group.all.back()->drops_harm_reports = false;
     group.run_for(milliseconds(1'500));
     EXPECT_EQ(holding(group), group.all.size());
 }
 
-// Guards against a request that is refused for good although one instance has seen it answered.
+// Guards against a request that stays refused although one instance has seen it answered.
 TEST(quarantine_exchange_test, an_answer_at_one_instance_releases_the_request_at_all) {
     peer_group group(2, 2);
     start_all(group);
     for (std::uint64_t server = 1; server <= 3; ++server) {
-        find_evidence(*group.all[0], server, milliseconds(500 * server));
+        add_evidence(*group.all[0], server, milliseconds(500 * server));
     }
     group.run_for(milliseconds(60));
     ASSERT_EQ(holding(group), group.all.size());
@@ -71,17 +71,17 @@
     EXPECT_EQ(holding(group), 0u);
 }
 
-// Guards against traffic that grows with every second in which nothing happens.
+// Guards against exchange traffic that grows over time while there is no new evidence.
 TEST(quarantine_exchange_test, a_calm_group_asks_once_a_second_each) {
     peer_group group(2, 3);
     start_all(group);
     group.run_for(milliseconds(2'500));
-    int questions = 0;
+    int requests = 0;
     for (const auto& it : group.all) {
-        questions += it->heard[wire::Message::HarmRequest];
+        requests += it->received_frames[wire::Message::HarmRequest];
     }
-    EXPECT_LE(questions, 3 * 6);
-    EXPECT_GE(questions, 2 * 6);
+    EXPECT_LE(requests, 3 * 6);
+    EXPECT_GE(requests, 2 * 6);
 }
 
 } // namespace
--- a/test/platform/quarantine_persister_test.cpp
+++ b/test/platform/quarantine_persister_test.cpp
@@ -1,4 +1,4 @@
-// Requests that are held, in the platform's store.
+// Tests that quarantined requests are kept in the platform's store.
 
 #include "test/platform/peer_group.h"
 
@@ -10,15 +10,15 @@
 namespace asio = boost::asio;
 
 constexpr request_digest harmful{1, 2};
-constexpr std::int64_t wall = 1'790'000'000'000;
+constexpr std::int64_t wall_ms = 1'790'000'000'000;
 
-/// Kept records in memory.
+/// Persistent records, held in memory.
 class memory_records final : public persistent_records {
 public:
     asio::awaitable<std::optional<std::vector<keyed_record>>>
     read_all(store_failure& why) override {
         ++reads;
-        if (away) {
+        if (is_unavailable) {
             why.set(store_error::unavailable, "away");
             co_return std::nullopt;
         }
@@ -31,7 +31,7 @@
 
     asio::awaitable<bool> write(keyed_record record, store_failure& why) override {
         ++writes;
-        if (away) {
+        if (is_unavailable) {
             why.set(store_error::unavailable, "away");
             co_return false;
         }
@@ -44,7 +44,7 @@
     }
 
     std::map<std::string, std::string> records;
-    bool away = false;
+    bool is_unavailable = false;
     int reads = 0;
     int writes = 0;
 };
@@ -67,18 +67,18 @@
                         "a_number_for_an_entry", {harmful.text(), R"({"evidence":[7]})"}, true}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against a damaged record that ends the instance which reads it.
+// Guards against a damaged record that crashes the instance which reads it.
 TEST_P(quarantine_record, is_read_or_rejected) {
-    EXPECT_EQ(read_evidence(GetParam().record, monotonic_now(), wall).has_value(),
+    EXPECT_EQ(read_evidence(GetParam().record, monotonic_now(), wall_ms).has_value(),
               GetParam().readable);
 }
 
 TEST(quarantine_records, keep_age_and_what_was_seen) {
     const time_point now = monotonic_now();
     const crash_evidence written{harmful, 11, 12, now - milliseconds(700), true, false};
-    const std::string value = write_evidence({&written, 1}, now, wall);
+    const std::string value = write_evidence({&written, 1}, now, wall_ms);
     const time_point later = now + seconds(5);
-    const auto read = read_evidence({harmful.text(), value}, later, wall + 5'000);
+    const auto read = read_evidence({harmful.text(), value}, later, wall_ms + 5'000);
     ASSERT_TRUE(read && read->size() == 1);
     EXPECT_EQ(read->front().server, 11u);
     EXPECT_EQ(read->front().caller, 12u);
@@ -90,41 +90,41 @@
 protected:
     quarantine_persister_test() : group_(2, 3) {
         for (const auto& it : group_.all) {
-            keepers_.push_back(std::make_unique<quarantine_persister>(
+            persisters_.push_back(std::make_unique<quarantine_persister>(
                 group_.context, store_, *it->membership, it->forwarding.quarantine));
             it->forwarding.quarantine.on_change(
-                [keeper = keepers_.back().get()](const request_digest& request) {
-                    keeper->note_change(request);
+                [persister = persisters_.back().get()](const request_digest& request) {
+                    persister->note_change(request);
                 });
             it->quarantine->start();
         }
     }
 
-    void start_keepers() {
-        for (const auto& it : keepers_) {
+    void start_persisters() {
+        for (const auto& it : persisters_) {
             it->start();
         }
     }
 
-    void hold() {
-        peer_instance& finder = *group_.all.front();
+    void quarantine_request() {
+        peer_instance& observer = *group_.all.front();
         for (std::uint64_t server = 1; server <= 3; ++server) {
             const time_point now = monotonic_now();
             const crash_evidence evidence{harmful, server, 7, now - milliseconds(400 * server),
                                           true,    false};
-            finder.forwarding.quarantine.add_local_evidence(evidence, now);
+            observer.forwarding.quarantine.add_local_evidence(evidence, now);
         }
     }
 
     memory_records store_;
     peer_group group_;
-    std::vector<std::unique_ptr<quarantine_persister>> keepers_;
+    std::vector<std::unique_ptr<quarantine_persister>> persisters_;
 };
 
-// Guards against a record that every instance writes, or that outlasts the release.
+// Guards against a record that every instance writes, or that remains after the request's release.
 TEST_F(quarantine_persister_test, two_instances_write_and_remove_the_record) {
-    start_keepers();
-    hold();
+    start_persisters();
+    quarantine_request();
     group_.run_for(milliseconds(400));
     EXPECT_EQ(store_.records.count(harmful.text()), 1u);
     EXPECT_EQ(store_.writes, 2);
@@ -134,19 +134,19 @@
     EXPECT_EQ(store_.writes, 4);
 }
 
-// Guards against a request that is forgotten because the store was away when it was held.
+// Guards against a request that is lost because the store was unavailable when it was quarantined.
 TEST_F(quarantine_persister_test, the_record_is_written_once_the_store_is_back) {
-    store_.away = true;
-    start_keepers();
-    hold();
+    store_.is_unavailable = true;
+    start_persisters();
+    quarantine_request();
     group_.run_for(milliseconds(300));
     EXPECT_TRUE(store_.records.empty());
-    store_.away = false;
+    store_.is_unavailable = false;
     group_.run_for(milliseconds(1'300));
     EXPECT_EQ(store_.records.count(harmful.text()), 1u);
 }
 
-// Guards against instances that forget, after a start of all, what the store has.
+// Guards against instances that don't restore the records in the store after all have restarted.
 TEST_F(quarantine_persister_test, a_start_of_all_knows_what_the_store_has) {
     std::vector<crash_evidence> evidence;
     const time_point now = monotonic_now();
@@ -154,7 +154,7 @@
         evidence.push_back({harmful, server, 7, now - milliseconds(400 * server), true, false});
     }
     store_.records[harmful.text()] = write_evidence(evidence, now, wall_now());
-    start_keepers();
+    start_persisters();
     group_.run_for(milliseconds(400));
     for (const auto& it : group_.all) {
         EXPECT_TRUE(it->forwarding.quarantine.holds(harmful));
--- a/test/platform/standin_store.cpp
+++ b/test/platform/standin_store.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr milliseconds poll_step{5};
-/// Callers give a silent call up long before.
-constexpr seconds silence{5};
+/// Delay of silent calls; callers time out long before.
+constexpr seconds silent_duration{5};
 constexpr std::array<const char*, 3> topic_names = {"keyed.op", "keyed.servers",
                                                     "keyed.quarantine"};
 
@@ -104,7 +104,7 @@
     const place where{address, exchange.request().parameter("topic").value_or("")};
     const store_manner manner = manner_at(where);
     if (manner != store_manner::answers) {
-        co_await turn_away(exchange, manner);
+        co_await reject(exchange, manner);
     } else if (exchange.request().path == "/log-newest") {
         co_await newest(exchange);
     } else if (exchange.request().path == "/log-append") {
@@ -116,9 +116,9 @@
     }
 }
 
-asio::awaitable<void> standin_store::turn_away(http_exchange& exchange, store_manner manner) {
+asio::awaitable<void> standin_store::reject(http_exchange& exchange, store_manner manner) {
     if (manner == store_manner::is_silent) {
-        co_await pause_for(silence);
+        co_await pause_for(silent_duration);
     }
     co_await exchange.respond_json(503, "{}");
 }
@@ -143,7 +143,7 @@
     const auto topic = exchange.request().parameter("topic");
     const std::string& body = exchange.request().body;
     constexpr std::size_t head = 4;
-    // One record a call is all that its clients append.
+    // Clients append only one record per call.
     const std::size_t size = body.size() <= head ? 0 : from_big_endian(body.substr(0, head));
     if (!topic || topic == "keyed.op" || topic == "keyed.servers" || size == 0 ||
         body.size() != head + size) {
@@ -169,7 +169,7 @@
     }
     --waiting_[where];
     if (const store_manner manner = manner_at(where); manner != store_manner::answers) {
-        co_await turn_away(exchange, manner);
+        co_await reject(exchange, manner);
         co_return;
     }
     if (from < t.first) {
--- a/test/platform/standin_store.h
+++ b/test/platform/standin_store.h
@@ -12,11 +12,11 @@
 
 namespace bamboostream::test {
 
-/// How the store's stand-in treats the calls at one of its addresses.
+/// How a `standin_store` treats the calls at one of its addresses.
 enum class store_manner : std::uint8_t { answers, refuses, is_silent };
 
-/// A small fake of the platform's store: topics of keyed records. It
-/// serves the same records at several addresses, so that it can treat instances differently.
+/// A minimal fake of the platform's store, with topics of keyed records. It serves the same records
+/// at several addresses, so that it can treat the calls of different instances differently.
 class standin_store {
 public:
     explicit standin_store(boost::asio::io_context& context);
@@ -24,13 +24,14 @@
     standin_store(const standin_store&) = delete;
     standin_store& operator=(const standin_store&) = delete;
 
-    /// One more address; the result names it in `set_manner`.
+    /// Starts listening on another address and returns it, for use with `set_manner`.
     std::string add_address();
-    /// Calls that wait there for a record are treated so from now on as well.
+    /// Sets how calls at `address` are treated, including those that are waiting for a record.
     void set_manner(const std::string& address, store_manner manner);
-    /// The same for the calls about one topic only.
+    /// Does the same for the calls about one topic only.
     void set_manner(const std::string& address, const std::string& topic, store_manner manner);
-    /// Reads of that topic that wait at the address for a record: who has one reads for all.
+    /// Number of reads of the topic that wait at the address for a record. An instance with such a
+    /// read is one that reads the store for all.
     int waiting_reads(const std::string& address, const std::string& topic) const;
     /// Writes a record as the operator ("keyed.op") or a backend server ("keyed.servers") does; an
     /// empty value removes the key.
@@ -56,12 +57,12 @@
     boost::asio::awaitable<void> read(http_exchange& exchange, const place& where);
     boost::asio::awaitable<void> newest(http_exchange& exchange);
     boost::asio::awaitable<void> append(http_exchange& exchange);
-    /// A call that is not served: refused, or left without an answer.
-    boost::asio::awaitable<void> turn_away(http_exchange& exchange, store_manner manner);
+    /// Fails a call: refuses it, or leaves it unanswered until the caller has timed out.
+    boost::asio::awaitable<void> reject(http_exchange& exchange, store_manner manner);
 
     boost::asio::io_context& context_;
     std::vector<std::unique_ptr<http_server>> servers_;
-    /// By address and topic.
+    /// Keyed by address and topic.
     std::map<place, store_manner> manners_;
     std::map<place, int> waiting_;
     std::map<std::string, topic_state> topics_;
--- a/test/platform/store_follower_test.cpp
+++ b/test/platform/store_follower_test.cpp
@@ -1,4 +1,5 @@
-// What an instance that reads the store does with answers that others' tellings have overtaken.
+// Tests how a store_follower handles store responses that became stale because a peer announced
+// newer changes while they were in flight.
 
 #include "bamboostream/Gateway"
 #include "bamboostream/src/Control/periodic.h"
@@ -14,15 +15,16 @@
 namespace asio = boost::asio;
 
 constexpr record_topic entries = record_topic::backend_entries;
-/// Answers are on their way for so long.
-constexpr milliseconds on_the_way{20};
+/// Delay between computing a response and its arrival.
+constexpr milliseconds response_latency{20};
 
 keyed_record entry_of(const std::string& id) {
     return {id, fmt::format(R"({{"service":"s","address":"10.0.0.1:80","zone":"z","version":"v",
 "slots":6,"state":"ready","cold_left_ms":0,"sequence":1}})")};
 }
 
-/// Holds records of entries; what it answers is settled when it is asked and arrives later.
+/// Holds backend entries. The content of a response is fixed when the call is made; the response
+/// arrives `response_latency` later.
 class slow_store final : public record_store {
 public:
     asio::awaitable<std::optional<record_page>> newest(record_topic topic,
@@ -31,7 +33,7 @@
         if (topic == entries) {
             page = {newest_, static_cast<std::int64_t>(log_.size())};
         }
-        co_await pause_for(on_the_way);
+        co_await pause_for(response_latency);
         co_return page;
     }
     asio::awaitable<std::optional<record_page>> read(record_topic topic, std::int64_t from,
@@ -44,14 +46,14 @@
                 ++page.next;
             }
         }
-        has_page_on_the_way_ = !page.records.empty();
-        co_await pause_for(page.records.empty() ? wait : on_the_way);
+        has_page_in_flight_ = !page.records.empty();
+        co_await pause_for(page.records.empty() ? wait : response_latency);
         co_return page;
     }
 
     std::vector<keyed_record> log_;
     std::vector<keyed_record> newest_;
-    bool has_page_on_the_way_ = false;
+    bool has_page_in_flight_ = false;
 };
 
 class sole_reader final : public read_coordinator {
@@ -76,15 +78,15 @@
         context_.run_for(time);
     }
 
-    /// Another instance tells that the server is gone at that position.
-    void tell_gone(const std::string& id, std::int64_t position) {
+    /// Applies a peer's announcement that the server was removed at `position`.
+    void announce_removal(const std::string& id, std::int64_t position) {
         ASSERT_EQ(state_.entries().evaluate(state_.entries().position(), position),
                   change_cursor::change_action::apply);
         forwarding_.registry.forget(backend_id(id));
     }
 
-    /// Whether the server was ever listed again while time passes.
-    bool came_back(const std::string& id, milliseconds time) {
+    /// Runs for `time` and returns whether the server was in the registry at any point.
+    bool reappears(const std::string& id, milliseconds time) {
         bool seen = false;
         for (milliseconds passed{0}; passed < time; passed += milliseconds(1)) {
             run_for(milliseconds(1));
@@ -99,51 +101,52 @@
     forwarding_state forwarding_;
     deployment_state state_;
     slow_store store_;
-    sole_reader plan_;
+    sole_reader coordinator_;
     store_follower follower_;
 };
 
-// The newest records of all keys are on their way here when another instance tells that a server
-// has gone. The answer still lists it; taken as it is, requests would be sent to it again.
+// A peer announces that a server is gone while the response with the newest record of each key is
+// in flight. The response still lists the server; applying it unchanged would send requests there
+// again.
 TEST_F(store_follower_test, a_list_that_a_telling_has_overtaken_brings_nothing_back) {
     store_.log_ = {entry_of("a"), entry_of("b")};
     store_.newest_ = store_.log_;
     state_.entries().set_position(2);
-    follower_.start(plan_);
+    follower_.start(coordinator_);
     run_for(milliseconds(5));
     store_.log_.push_back({"a", ""});
     store_.newest_ = {entry_of("b")};
-    tell_gone("a", 3);
-    EXPECT_FALSE(came_back("a", milliseconds(200)));
+    announce_removal("a", 3);
+    EXPECT_FALSE(reappears("a", milliseconds(200)));
 }
 
-// A page is on its way with the entry of a server that another instance has told to be gone since.
-// Nothing of it is taken; the next page has what follows the telling.
+// A page in flight contains the entry of a server that a peer has meanwhile announced as gone. The
+// whole page is discarded; the next page contains what follows the announcement.
 TEST_F(store_follower_test, a_page_that_a_telling_has_overtaken_brings_nothing_back) {
     store_.log_ = {entry_of("b")};
     store_.newest_ = store_.log_;
-    follower_.start(plan_);
+    follower_.start(coordinator_);
     run_for(milliseconds(150));
     store_.log_.push_back(entry_of("a"));
-    // The next read begins within 65 ms and is under way for 20 ms.
-    while (!store_.has_page_on_the_way_) {
+    // The next read begins within 65 ms and its response takes 20 ms.
+    while (!store_.has_page_in_flight_) {
         run_for(milliseconds(1));
     }
     store_.log_.push_back({"a", ""});
     store_.log_.push_back(entry_of("c"));
-    tell_gone("a", 3);
-    EXPECT_FALSE(came_back("a", milliseconds(200)));
+    announce_removal("a", 3);
+    EXPECT_FALSE(reappears("a", milliseconds(200)));
     EXPECT_NE(forwarding_.registry.find(backend_id("c")), nullptr);
 }
 
-// A page on its way says that a server has gone and is back, which another instance has told
-// already, and that one has come. Taken from its beginning it would take the server for gone once
-// more: its connections are closed and its generations moved away. Only what follows the telling is
-// taken.
+// A page in flight says that server b was removed and registered again, which a peer has already
+// announced, and that server c is new. Applying the page from its beginning would remove b once
+// more, closing its connections and moving its generations away. Only the records after the
+// announced position are applied.
 TEST_F(store_follower_test, a_page_is_taken_from_what_is_known_on) {
     store_.log_ = {entry_of("b")};
     store_.newest_ = store_.log_;
-    follower_.start(plan_);
+    follower_.start(coordinator_);
     run_for(milliseconds(150));
     std::vector<std::string> gone;
     state_.on_backend_change([&gone](const registry_change& change) {
@@ -154,7 +157,7 @@
     store_.log_.push_back({"b", ""});
     store_.log_.push_back(entry_of("b"));
     store_.log_.push_back(entry_of("c"));
-    while (!store_.has_page_on_the_way_) {
+    while (!store_.has_page_in_flight_) {
         run_for(milliseconds(1));
     }
     ASSERT_EQ(state_.entries().evaluate(1, 3), change_cursor::change_action::apply);
@@ -163,13 +166,13 @@
     EXPECT_NE(forwarding_.registry.find(backend_id("c")), nullptr);
 }
 
-// The store has lost its newest records and answers with an earlier position. It is believed: what
-// it holds now is all that anybody can know.
+// The store has lost its newest records and answers with an earlier position. The follower accepts
+// it, because the store's present content is the only authoritative state left.
 TEST_F(store_follower_test, a_store_that_went_back_is_believed) {
     store_.log_ = {entry_of("b")};
     store_.newest_ = store_.log_;
     state_.entries().set_position(40);
-    follower_.start(plan_);
+    follower_.start(coordinator_);
     run_for(milliseconds(60));
     EXPECT_NE(forwarding_.registry.find(backend_id("b")), nullptr);
     EXPECT_EQ(state_.entries().position(), 1);
--- a/test/platform/store_view_test.cpp
+++ b/test/platform/store_view_test.cpp
@@ -1,5 +1,5 @@
-// Who reads the store for whom, how old a view may grow, and whose word on backend servers holds;
-// without a network.
+// Tests which instances read the store, how old a view may become, and which source of backend
+// entries takes precedence. No network is used.
 
 #include "bamboostream/Gateway"
 #include "bamboostream/src/Gateway/peer_frames.h"
@@ -20,7 +20,8 @@
 
 const std::vector<std::string> common_order = {"r1", "r2", "s1", "s2"};
 
-/// What `self` has been told, and whether it must read; ages in milliseconds, -1 for never.
+/// Ages of the views that `self` was told of, in milliseconds (-1: never told), and whether it must
+/// read the store.
 struct duty_row {
     std::string name;
     std::string self;
@@ -46,51 +47,51 @@
                     duty_row{"other_never_told", "x", -1, -1, -1, true}),
     [](const auto& info) { return info.param.name; });
 
-// Two instances read the store and tell the others how old their view is. When they die, freeze or
-// are cut off from the store their views grow old; the next in order takes their place, without
-// waiting for anybody to notice a failure.
+// Two instances read the store and announce the age of their view. When they crash, freeze or lose
+// the store, their views age and the next instance in the order takes over, without waiting for
+// failure detection.
 TEST_P(reading_duty, passes_to_the_next_when_views_grow_old) {
     const duty_row& row = GetParam();
-    store_read_policy duty;
-    const auto record_view = [&](const std::string& teller, int age_ms) {
+    store_read_policy policy;
+    const auto record_view = [&](const std::string& announcer, int age_ms) {
         if (age_ms >= 0) {
-            duty.record_view(teller, entries, start - milliseconds(age_ms));
+            policy.record_view(announcer, entries, start - milliseconds(age_ms));
         }
     };
     record_view("r1", row.first_reader_age);
     record_view("r2", row.second_reader_age);
     record_view("s1", row.substitute_age);
-    EXPECT_EQ(duty.must_read(entries, common_order, row.self, start), row.must_read);
+    EXPECT_EQ(policy.must_read(entries, common_order, row.self, start), row.must_read);
 }
 
-// The second reader hears that the first one's view is fresh, and lets its own reads wait longer: a
-// record arrives as soon. When the first is silent the others go by the second's view, which must
-// not look old while all is well.
-TEST(store_duty_test, only_one_proves_all_the_time_that_the_store_answers) {
-    store_read_policy duty;
+// While the first reader announces a fresh view, the second one uses a longer wait for its reads; a
+// new record still arrives as soon. When the first reader is silent, the others rely on the second
+// one's view, which must not look old while the store answers.
+TEST(store_read_policy_test, only_one_proves_all_the_time_that_the_store_answers) {
+    store_read_policy policy;
     const auto wait_of = [&](const char* self, int ms) {
-        return duty.read_wait(entries, common_order, self, start + milliseconds(ms));
+        return policy.read_wait(entries, common_order, self, start + milliseconds(ms));
     };
     EXPECT_EQ(wait_of("r2", 0), read_timing_of(entries).wait);
-    duty.record_view("r1", entries, start);
-    duty.record_view("r2", entries, start);
+    policy.record_view("r1", entries, start);
+    policy.record_view("r2", entries, start);
     EXPECT_EQ(wait_of("r1", 600), read_timing_of(entries).wait);
     EXPECT_EQ(wait_of("r2", 600), relaxed_wait);
     EXPECT_EQ(wait_of("r2", 700), read_timing_of(entries).wait);
     EXPECT_EQ(wait_of("s1", 700), read_timing_of(entries).wait);
 }
 
-// A telling that was on its way for long says less than an earlier one; a topic says nothing of
-// another.
-TEST(store_duty_test, the_best_word_of_a_teller_holds_for_its_topic) {
-    store_read_policy duty;
-    duty.record_view("r1", entries, start);
-    duty.record_view("r1", entries, start - seconds(5));
-    EXPECT_FALSE(duty.must_read(entries, common_order, "s1", start));
-    EXPECT_TRUE(duty.must_read(documents, common_order, "s1", start));
+// A delayed announcement with an older view must not replace a fresher one, and a view of one topic
+// says nothing about another topic.
+TEST(store_read_policy_test, the_freshest_view_of_an_announcer_is_kept_per_topic) {
+    store_read_policy policy;
+    policy.record_view("r1", entries, start);
+    policy.record_view("r1", entries, start - seconds(5));
+    EXPECT_FALSE(policy.must_read(entries, common_order, "s1", start));
+    EXPECT_TRUE(policy.must_read(documents, common_order, "s1", start));
 }
 
-/// Tries in a row that the store didn't answer, and the pause after them.
+/// Number of consecutive failed calls to the store, and the pause after the last one.
 struct pause_row {
     std::string name;
     store_read_role role;
@@ -112,73 +113,78 @@
                     pause_row{"other_much_later", store_read_role::other, 1'000, 2'800}),
     [](const auto& info) { return info.param.name; });
 
-// The store is away for long. Those in the order go on trying and tell everybody of its return; the
-// others, whose calls would be refused and paid for, try ever more rarely.
+// The store is unavailable for long. Instances in the order keep trying at a constant rate and
+// announce its return to all others. The other instances, whose calls would be refused and still
+// cost, back off.
 TEST_P(store_pause, only_those_in_the_order_try_often_while_the_store_is_away) {
     const pause_row& row = GetParam();
     EXPECT_EQ(store_read_policy::failure_backoff(row.role, row.failures),
               milliseconds(row.pause_ms));
 }
 
-// --- how long the store's word takes
+// --- how long a new record takes to reach all instances
 
-/// How the store treats the instances that it turns away.
-enum class treatment : std::uint8_t { silent, refused };
+/// How the store treats the calls of the instances that it turns away.
+enum class rejection_mode : std::uint8_t { silent, refused };
 
-/// Some instances are turned away from the outage's begin on; places in the common order.
+/// An outage during which the store turns some instances away.
 struct budget_row {
     std::string name;
     int instances;
+    /// Positions in the common order.
     std::vector<int> turned_away;
-    treatment manner;
+    rejection_mode mode;
     int answer_ms;
-    /// For what servers say, and for a configuration.
+    /// Limits for backend entries and for a configuration.
     int bound_ms;
     int documents_bound_ms;
 };
 
-/// Instances that read by the real duty, in steps of five milliseconds. The outage begins at 2 s.
-class reading_play {
+/// Simulates instances that read the store according to the real `store_read_policy`, in steps of
+/// five milliseconds. The outage begins at 2 s.
+class read_simulation {
 public:
-    reading_play(const budget_row& row, record_topic topic) : row_(row), topic_(topic) {
+    read_simulation(const budget_row& row, record_topic topic) : row_(row), topic_(topic) {
         for (int i = 0; i < row.instances; ++i) {
             names_.push_back(fmt::format("{}", i));
             readers_.emplace_back();
-            // They begin at different moments of their reads.
+            // Staggers the reads.
             readers_.back().next = start + milliseconds(i * 37 % 300);
         }
         const std::size_t length = std::min(names_.size(), store_read_policy::order_length);
         order_.assign(names_.begin(), names_.begin() + static_cast<std::ptrdiff_t>(length));
     }
 
-    /// From the store's word at `word` to the last instance that the store or a peer told of it.
-    duration play(time_point word) {
-        word_ = word;
-        for (time_point now = start; now < word + seconds(5); now += milliseconds(5)) {
+    /// Returns the time from a record's arrival in the store at `recorded_at` until the last
+    /// instance learns of it, from the store or a peer.
+    duration run(time_point recorded_at) {
+        recorded_at_ = recorded_at;
+        for (time_point now = start; now < recorded_at + seconds(5); now += milliseconds(5)) {
             for (std::size_t i = 0; i < readers_.size(); ++i) {
                 step(i, now);
             }
         }
         duration longest{};
         for (const reader& r : readers_) {
-            longest = std::max(longest, r.learned.value_or(time_point::max()) - word);
+            longest = std::max(longest, r.learned_at.value_or(time_point::max()) - recorded_at);
         }
         return longest;
     }
 
 private:
     struct reader {
-        store_read_policy duty;
+        store_read_policy policy;
         time_point next;
         time_point began;
         milliseconds wait{0};
         bool reading = false;
         bool follows = false;
         int failures = 0;
-        /// Until when it knows what the store says, and when it asks a peer next.
+        /// The time of the newest store view that it knows of.
         time_point known_until = start;
-        time_point next_question = start;
-        std::optional<time_point> learned;
+        /// When it may query a peer next.
+        time_point next_query = start;
+        std::optional<time_point> learned_at;
     };
 
     bool is_turned_away(std::size_t i) const {
@@ -191,13 +197,14 @@
 
     void step(std::size_t i, time_point now) {
         reader& r = readers_[i];
-        ask_when_stale(i, now);
+        query_peer_when_stale(i, now);
         if (r.reading) {
-            go_on_reading(i, now);
-        } else if (now >= r.next && r.duty.must_read(topic_, order_, names_[i], now)) {
+            continue_read(i, now);
+        } else if (now >= r.next && r.policy.must_read(topic_, order_, names_[i], now)) {
             r.reading = true;
             r.began = now;
-            r.wait = r.follows ? r.duty.read_wait(topic_, order_, names_[i], now) : milliseconds(0);
+            r.wait =
+                r.follows ? r.policy.read_wait(topic_, order_, names_[i], now) : milliseconds(0);
         } else if (now >= r.next) {
             r.next = now + recheck_period;
             r.follows = false;
@@ -205,26 +212,27 @@
         }
     }
 
-    /// Another peer each time.
-    void ask_when_stale(std::size_t i, time_point now) {
+    /// Queries a different peer in each period.
+    void query_peer_when_stale(std::size_t i, time_point now) {
         reader& r = readers_[i];
-        if (now < r.next_question || now - r.known_until <= read_timing_of(topic_).max_view_age) {
+        if (now < r.next_query || now - r.known_until <= read_timing_of(topic_).max_view_age) {
             return;
         }
-        r.next_question = now + question_period;
-        const auto round = static_cast<std::size_t>((now - start) / question_period);
+        r.next_query = now + query_period;
+        const auto round = static_cast<std::size_t>((now - start) / query_period);
         const reader& peer = readers_[(i + 1 + round) % readers_.size()];
-        if (peer.learned) {
+        if (peer.learned_at) {
             learn(i, now + milliseconds(2));
         }
         r.known_until = std::max(r.known_until, peer.known_until);
     }
 
-    void go_on_reading(std::size_t i, time_point now) {
+    void continue_read(std::size_t i, time_point now) {
         reader& r = readers_[i];
-        const bool has_record = now >= word_ && !r.learned;
+        const bool has_record = now >= recorded_at_ && !r.learned_at;
         const time_point answered =
-            (has_record ? std::min(std::max(r.began, word_), r.began + r.wait) : r.began + r.wait) +
+            (has_record ? std::min(std::max(r.began, recorded_at_), r.began + r.wait)
+                        : r.began + r.wait) +
             milliseconds(row_.answer_ms);
         if (is_served(i, now)) {
             if (now >= answered) {
@@ -232,9 +240,10 @@
                 finish(i, now, pause_between_reads);
                 learn(i, now);
                 r.known_until = now;
-                tell(i, now);
+                announce(i, now);
             }
-        } else if (row_.manner == treatment::refused || now >= r.began + r.wait + answer_timeout) {
+        } else if (row_.mode == rejection_mode::refused ||
+                   now >= r.began + r.wait + answer_timeout) {
             ++r.failures;
             finish(i, now,
                    store_read_policy::failure_backoff(store_read_policy::role_of(order_, names_[i]),
@@ -248,32 +257,32 @@
     }
 
     void learn(std::size_t i, time_point now) {
-        if (now >= word_ && !readers_[i].learned) {
-            readers_[i].learned = now;
+        if (now >= recorded_at_ && !readers_[i].learned_at) {
+            readers_[i].learned_at = now;
         }
     }
 
-    void tell(std::size_t i, time_point now) {
+    void announce(std::size_t i, time_point now) {
         if (i >= order_.size()) {
             return;
         }
         for (std::size_t other = 0; other < readers_.size(); ++other) {
-            readers_[other].duty.record_view(names_[i], topic_, now);
+            readers_[other].policy.record_view(names_[i], topic_, now);
             readers_[other].known_until = now;
-            if (readers_[i].learned) {
+            if (readers_[i].learned_at) {
                 learn(other, now + milliseconds(2));
             }
         }
     }
 
-    static constexpr milliseconds question_period{300};
-    /// Of the store's client and the follower.
+    static constexpr milliseconds query_period{300};
+    /// The values that the store client and the follower use.
     static constexpr milliseconds answer_timeout{600};
     static constexpr milliseconds pause_between_reads{60};
 
     const budget_row& row_;
     record_topic topic_;
-    time_point word_;
+    time_point recorded_at_;
     std::vector<std::string> names_;
     std::vector<std::string> order_;
     std::vector<reader> readers_;
@@ -281,12 +290,13 @@
 
 class learning_budget : public testing::TestWithParam<budget_row> {
 protected:
-    /// The store's word comes at any moment of the reads that are under way.
+    /// Returns the longest propagation time over records that arrive 0 to 1.5 s after the outage
+    /// began, that is, in any phase of the pending reads.
     static duration longest_of(const budget_row& row, record_topic topic) {
         duration longest{};
         for (int after = 0; after < 1'500; after += 25) {
-            reading_play play(row, topic);
-            longest = std::max(longest, play.play(start + seconds(2) + milliseconds(after)));
+            read_simulation simulation(row, topic);
+            longest = std::max(longest, simulation.run(start + seconds(2) + milliseconds(after)));
         }
         return longest;
     }
@@ -297,43 +307,47 @@
 INSTANTIATE_TEST_SUITE_P(
     table, learning_budget,
     testing::Values(
-        budget_row{"all_served", 8, {}, treatment::silent, 4, 100, 100},
-        budget_row{"one_reader_silent", 8, {0}, treatment::silent, 4, 100, 100},
-        budget_row{"both_readers_silent", 8, {0, 1}, treatment::silent, 4, 1'000, 1'250},
-        budget_row{"both_readers_refused", 8, {0, 1}, treatment::refused, 4, 1'000, 1'250},
-        budget_row{"readers_and_third_silent", 8, {0, 1, 2}, treatment::silent, 4, 1'000, 1'250},
-        budget_row{"reader_substitute_and_last", 8, {0, 2, 7}, treatment::silent, 4, 100, 100},
+        budget_row{"all_served", 8, {}, rejection_mode::silent, 4, 100, 100},
+        budget_row{"one_reader_silent", 8, {0}, rejection_mode::silent, 4, 100, 100},
+        budget_row{"both_readers_silent", 8, {0, 1}, rejection_mode::silent, 4, 1'000, 1'250},
+        budget_row{"both_readers_refused", 8, {0, 1}, rejection_mode::refused, 4, 1'000, 1'250},
         budget_row{
-            "all_but_the_last", 8, {0, 1, 2, 3, 4, 5, 6}, treatment::silent, 4, 1'000, 1'250},
+            "readers_and_third_silent", 8, {0, 1, 2}, rejection_mode::silent, 4, 1'000, 1'250},
+        budget_row{"reader_substitute_and_last", 8, {0, 2, 7}, rejection_mode::silent, 4, 100, 100},
         budget_row{
-            "both_readers_silent_slow_store", 8, {0, 1}, treatment::silent, 240, 1'190, 1'440},
-        budget_row{"many_both_readers_silent", 70, {0, 1}, treatment::silent, 4, 1'000, 1'250},
-        budget_row{"many_whole_order_silent", 70, whole_order, treatment::silent, 4, 1'800, 2'000},
-        budget_row{"many_whole_order_silent_slow_store", 70, whole_order, treatment::silent, 240,
-                   1'800, 2'000},
-        budget_row{"two_instances_one_silent", 2, {0}, treatment::silent, 4, 100, 100},
-        budget_row{"three_instances_two_silent", 3, {0, 1}, treatment::silent, 4, 1'000, 1'250}),
+            "all_but_the_last", 8, {0, 1, 2, 3, 4, 5, 6}, rejection_mode::silent, 4, 1'000, 1'250},
+        budget_row{
+            "both_readers_silent_slow_store", 8, {0, 1}, rejection_mode::silent, 240, 1'190, 1'440},
+        budget_row{"many_both_readers_silent", 70, {0, 1}, rejection_mode::silent, 4, 1'000, 1'250},
+        budget_row{"many_whole_order_silent", 70, whole_order, rejection_mode::silent, 4, 1'800,
+                   2'000},
+        budget_row{"many_whole_order_silent_slow_store", 70, whole_order, rejection_mode::silent,
+                   240, 1'800, 2'000},
+        budget_row{"two_instances_one_silent", 2, {0}, rejection_mode::silent, 4, 100, 100},
+        budget_row{
+            "three_instances_two_silent", 3, {0, 1}, rejection_mode::silent, 4, 1'000, 1'250}),
     [](const auto& info) { return info.param.name; });
 
-// The store turns some instances away, and then a server says that it leaves, or the operator
-// writes a configuration, at any moment of anybody's read. The sum of the waits on the way to the
-// last instance decides whether callers' requests still reach it after their bound; no single wait
-// shows that it is too long.
+// The store turns some instances away; then a server announces that it leaves, or the operator
+// writes a configuration, in any phase of the pending reads. The sum of all waits until the last
+// instance learns of it must stay within the bound after which no request may reach the leaving
+// server. No single wait shows that the sum is too long.
 TEST_P(learning_budget, is_kept_whoever_is_turned_away) {
     const budget_row& row = GetParam();
     EXPECT_LE(to_milliseconds(longest_of(row, entries)), row.bound_ms);
     EXPECT_LE(to_milliseconds(longest_of(row, documents)), row.documents_bound_ms);
 }
 
-// Callers may count on two seconds for both topics, a busy processor and the sending included.
+// Callers rely on two seconds for both topics, including CPU load and sending. The margin for these
+// is half a second.
 TEST(learning_budget_test, the_sum_of_all_waits_leaves_half_a_second) {
     EXPECT_LE(max_propagation_time(entries), milliseconds(1'200));
     EXPECT_LE(max_propagation_time(documents), milliseconds(1'500));
 }
 
-// --- whose word holds
+// --- which source takes precedence
 
-/// What another instance lists, seen from one that knows servers a and b up to position 10.
+/// A peer's list, received by an instance that knows servers a and b up to position 10.
 struct list_row {
     std::string name;
     std::int64_t position;
@@ -342,7 +356,7 @@
     std::string known_after;
 };
 
-/// Servers a and b are known up to position 10.
+/// An instance that knows servers a and b up to position 10.
 class known_servers : public testing::Test {
 protected:
     known_servers()
@@ -381,23 +395,23 @@
                     list_row{"empty", 11, {}, {}, "ab"}),
     [](const auto& info) { return info.param.name; });
 
-// An instance asks another for its list. What callers feel of an older list: servers that have gone
-// come back and requests are sent to them, servers that have come are not used. The position in the
-// store's topic says which of the two knows more.
+// An instance asks a peer for its list. Applying an older list would bring back servers that are
+// gone, so that requests are sent to them, and drop new ones. The position in the store's topic
+// tells which of the two lists is newer.
 TEST_P(peer_list, changes_only_what_is_older_here) {
     const list_row& row = GetParam();
-    std::vector<peer_backend> told;
+    std::vector<peer_backend> peer_backends;
     for (const std::string& id : row.listed) {
-        told.push_back({backend(id), false});
+        peer_backends.push_back({backend(id), false});
     }
     for (const std::string& id : row.lapsed) {
-        told.push_back({backend(id), true});
+        peer_backends.push_back({backend(id), true});
     }
-    state_.apply_peer_backends(told, row.position, start);
+    state_.apply_peer_backends(peer_backends, row.position, start);
     EXPECT_EQ(known(), row.known_after);
 }
 
-// Whatever position the other's list has, a server that it knows to leave leaves.
+// A server that a peer lists as leaving is marked as leaving whatever the position of that list.
 TEST_F(known_servers, an_older_list_still_tells_who_leaves) {
     peer_backend leaver{backend("a"), false};
     leaver.backend.leaving = true;
@@ -405,8 +419,8 @@
     EXPECT_EQ(forwarding_.registry.usable(service_id("s")).size(), 1u);
 }
 
-// An instance starts while the store is away. What it may use is what others still know, entries
-// that have lapsed meanwhile among it; it waits for these as the others do.
+// An instance starts while the store is unavailable. It uses the entries that its peers still know,
+// including lapsed ones, for whose return it waits as long as its peers do.
 TEST(peer_list_test, an_instance_that_knows_nothing_takes_lapsed_entries) {
     backend_registry registry;
     registry.learn_from_peer(std::vector{peer_backend{backend("a"), true}}, start);
@@ -416,12 +430,13 @@
     EXPECT_TRUE(registry.empty());
 }
 
-/// How long nobody told this instance what the store says, before a removal is read.
+/// How long this instance had no own view of the store, and when a peer last announced one, before
+/// it reads a removal.
 struct outage_row {
     std::string name;
     int own_silence_ms;
     int told_ms_ago;
-    bool put_off;
+    bool is_deferred;
 };
 
 class outage : public known_servers, public testing::WithParamInterface<outage_row> {};
@@ -433,40 +448,41 @@
                     outage_row{"of_all", 9'000, 1'100, true}),
     [](const auto& info) { return info.param.name; });
 
-// The entry of a server is missing when an instance reads again. If it was alone in not reaching
-// the store, the server has gone, and putting that off sends callers' requests to it. If nobody
-// reached the store, entries have lapsed, and believing it leaves no server to use.
+// The entry of a server is missing when an instance reads the store again. If only this instance
+// could not reach the store, the server is gone, and deferring the removal sends requests to it. If
+// no instance could, entries have lapsed, and removing them would leave no server to use.
 TEST_P(outage, only_one_of_all_puts_removals_off) {
     const outage_row& row = GetParam();
     const time_point now = start + seconds(20);
     state_.update_view(entries, now - milliseconds(row.own_silence_ms),
                        now - milliseconds(row.own_silence_ms));
-    const time_point told = now - milliseconds(row.told_ms_ago);
-    for (time_point t = now - milliseconds(row.own_silence_ms); t < told; t += milliseconds(300)) {
+    const time_point announced_at = now - milliseconds(row.told_ms_ago);
+    for (time_point t = now - milliseconds(row.own_silence_ms); t < announced_at;
+         t += milliseconds(300)) {
         state_.update_view(entries, t, t);
     }
-    state_.update_view(entries, told, told);
+    state_.update_view(entries, announced_at, announced_at);
     state_.update_outage(now);
     state_.update_view(entries, now, now);
     forwarding_.registry.remove(backend_id("a"), now);
-    EXPECT_EQ(forwarding_.registry.has_lapsed(backend_id("a")), row.put_off);
-    EXPECT_EQ(known(), row.put_off ? "ab" : "b");
+    EXPECT_EQ(forwarding_.registry.has_lapsed(backend_id("a")), row.is_deferred);
+    EXPECT_EQ(known(), row.is_deferred ? "ab" : "b");
 }
 
-// An instance that has read nothing yet tells something, or is asked. Its word on ages says
-// nothing: taken as a moment long ago it would look like an outage, and removals would wait at
-// every start.
+// An instance that has read nothing yet sends an announcement or answers a query. Its view age is
+// unknown; interpreting it as a time long ago would look like an outage and defer removals at every
+// start.
 TEST(peer_frames_test, an_age_that_was_never_known_names_no_moment) {
     const view_age never;
     EXPECT_EQ(time_from_age(age_on_wire(never.age(start)), start), std::nullopt);
     EXPECT_EQ(time_from_age(age_on_wire(milliseconds(250)), start), start - milliseconds(250));
 }
 
-// --- how far the entries are known
+// --- up to which position the entries are known
 
-// A telling is lost. Applying later ones would leave out the lost change for good: a server that
-// leaves would get work until it is gone. The gap shows in the positions, and all entries are asked
-// for. Whoever has read the store itself goes on with what any reader tells.
+// An announcement is lost. Applying only the later ones would miss its change for good: a leaving
+// server would get work until it is gone. The positions reveal the gap, and all entries are
+// requested. An instance that has read the store itself continues with any reader's announcements.
 TEST(change_cursor_test, asks_for_all_after_a_gap) {
     using change_action = change_cursor::change_action;
     change_cursor follower;
@@ -475,7 +491,7 @@
     EXPECT_EQ(follower.evaluate(3, 5), change_action::apply);
     EXPECT_EQ(follower.evaluate(5, 5), change_action::known);
     EXPECT_EQ(follower.evaluate(6, 7), change_action::resync);
-    // Another reader, whose tellings begin elsewhere.
+    // Another reader, whose announcements start at other positions.
     EXPECT_EQ(follower.evaluate(4, 6), change_action::apply);
     EXPECT_EQ(follower.evaluate(2, 6), change_action::known);
     EXPECT_EQ(follower.evaluate(7, 8), change_action::resync);
@@ -484,9 +500,9 @@
     EXPECT_EQ(follower.position(), 9);
 }
 
-// A reader gives up a server for whose entry it has waited; no record came with that, so the
-// position stays. Who knows no later record than the reader must give it up too; who knows later
-// ones may have seen the server register again.
+// A reader removes a server whose lapsed entry did not return in time. No record comes with that,
+// so the position is unchanged. Instances that know no later record than the reader must remove it
+// too; those that know later ones may have seen the server register again.
 TEST(change_cursor_test, a_removal_without_a_record_holds_unless_later_records_are_known) {
     change_cursor follower;
     follower.set_position(5);
