--- a/test/system/call_faults_test.cpp
+++ b/test/system/call_faults_test.cpp
@@ -1,4 +1,4 @@
-// Calls that must not be repeated, under faults: real processes, with fault proxies before the
+// Tests non-idempotent calls under faults, with real processes and fault proxies in front of the
 // services and the log.
 
 #include "test/system/cluster.h"
@@ -11,19 +11,20 @@
 
 namespace json = boost::json;
 
-/// A fault that is there while the call is made, and what the caller may be told.
+/// A fault that is injected before the call is made, and the outcomes that the caller may get.
 struct call_fault {
     const char* name;
-    void (*strike)(cluster& c);
+    void (*inject)(cluster& c);
     std::vector<outcome> allowed;
-    /// How often the call must have run in the end: exactly, or -1 for "at most once".
+    /// The exact number of executions after the first call; -1 allows none or one.
     int runs = -1;
-    /// A proxy goes on accepting connections for a dead service, so that bytes may seem sent.
+    /// Whether the services are behind fault proxies. A proxy still accepts connections when its
+    /// service is dead, so the instance can't tell whether the request reached the service.
     bool proxied_services = true;
     friend void PrintTo(const call_fault& fault, std::ostream* out) { *out << fault.name; }
 };
 
-void nothing(cluster&) {}
+void no_fault(cluster&) {}
 void services_lose_answers(cluster& c) {
     for (int i = 0; i < 2; ++i) {
         c.command(c.service(i).addresses[0], {{"lose_answers", 1}});
@@ -77,13 +78,13 @@
     c.instance(0).running->signal(SIGKILL);
     c.instance(0).running->wait_for_end(seconds(2));
 }
-void log_down_and_services_lose_answers(cluster& c) {
+void log_and_services_lose_answers(cluster& c) {
     log_loses_append_answers(c);
     services_lose_answers(c);
 }
 
 const std::vector<call_fault> call_faults = {
-    {"none", nothing, {outcome::completed}, 1},
+    {"none", no_fault, {outcome::completed}, 1},
     {"one_service_killed", kill_one_service, {outcome::completed}, 1, false},
     {"all_services_killed", kill_all_services, {outcome::not_run}, 0, false},
     {"all_services_killed_behind_proxies",
@@ -101,32 +102,33 @@
     {"log_link_stalled", log_link_stalled, {outcome::not_run, outcome::unknown}, 0},
     {"an_instance_killed", kill_an_instance, {outcome::completed}, 1},
     {"append_and_service_answers_lost",
-     log_down_and_services_lose_answers,
+     log_and_services_lose_answers,
      {outcome::unknown, outcome::not_run},
      -1},
 };
 
-cluster_shape call_shape(bool proxied_services) {
-    cluster_shape shape;
-    shape.engines = 1;
-    shape.proxied_services = proxied_services;
-    shape.proxied_log = true;
-    return shape;
+cluster_options make_cluster_options(bool proxied_services) {
+    cluster_options options;
+    options.engines = 1;
+    options.proxied_services = proxied_services;
+    options.proxied_log = true;
+    return options;
 }
 
 class call_fault_test : public testing::TestWithParam<call_fault> {};
 
-// The caller is told an outcome that is true: "not run" only when the service's journal has no run
-// of the key, "completed" only when it has one, and never two runs. The fault is in place before
-// the call; the caller repeats it twice with the same key, as callers do. It works because a claim
-// on the log comes before the dispatch and never changes hands.
+// Guards against false outcomes and duplicate executions. "not run" requires that the services'
+// journals have no execution of the key, "completed" that they have exactly one, and there must
+// never be two. The fault is injected before the call; then the caller repeats the call twice with
+// the same key. This holds because the instance appends a claim to the log before it dispatches the
+// call, and a claim never passes to another instance.
 TEST_P(call_fault_test, outcome_is_true_and_nothing_runs_twice) {
     const call_fault& fault = GetParam();
-    cluster c(call_shape(fault.proxied_services));
-    // An instance younger than the key by less than the clocks' skew can't vouch for its
-    // predecessor, so the instances are let grow older first.
+    cluster c(make_cluster_options(fault.proxied_services));
+    // An instance that started less than the allowed clock skew (1 s) before the key was made can't
+    // rule out that its predecessor ran the call. Wait until the instances have been up for longer.
     c.run_for(milliseconds(1'200));
-    fault.strike(c);
+    fault.inject(c);
     const std::string key = make_uuid_v7(wall_now());
     const auto first = c.start_service_call(key);
     ASSERT_TRUE(c.wait_until([&] { return first->ended; }, seconds(20)));
@@ -158,8 +160,8 @@
 INSTANTIATE_TEST_SUITE_P(faults, call_fault_test, testing::ValuesIn(call_faults),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// Ten callers send the same key at once to all instances. The service runs it once, and whoever is
-// told "completed" has the same answer.
+// Ten callers send the same key concurrently, through all instances. The call is executed once and
+// every caller gets "completed" with the same body.
 TEST(call_race_test, same_key_at_all_instances_runs_once) {
     cluster c({});
     const std::string key = make_uuid_v7(wall_now());
@@ -180,12 +182,13 @@
     }
 }
 
-// The instance that holds a claim is frozen after it dispatched the call and wakes ten seconds
-// later. Others with the key are told "unknown", never "not run", and nothing runs twice.
+// The instance that holds the claim is stopped (SIGSTOP) after it dispatched the call, for up to
+// about ten seconds. A second caller with the same key must not be told "not run" meanwhile, and
+// the call must not be executed twice.
 TEST(call_race_test, claimant_frozen_after_dispatch) {
-    cluster_shape shape;
-    shape.services = 1;
-    cluster c(shape);
+    cluster_options options;
+    options.services = 1;
+    cluster c(options);
     c.command(c.service(0).addresses[0], {{"work_ms", 1500}});
     const std::string key = make_uuid_v7(wall_now());
     const auto first = c.start_service_call(key);
@@ -206,8 +209,9 @@
     EXPECT_EQ(c.runs_of(key), 1);
 }
 
-// The log forgets everything while the instances live on; a key claimed before is sent again, and
-// one instance is replaced by a new one that never saw the claim. Nothing runs twice.
+// Guards against a second execution when nobody remembers the claim: all records of the log
+// expire, the instances are killed, and the key is sent again to a new instance that never read the
+// claim. It must not answer "not run" and the call must not be executed twice.
 TEST(call_race_test, log_restarted_with_old_records_expired) {
     cluster c({});
     const std::string key = make_uuid_v7(wall_now());
@@ -219,18 +223,19 @@
         c.instance(i).running->signal(SIGKILL);
         c.instance(i).running->wait_for_end(seconds(2));
     }
-    const int fresh = c.add_instance();
-    // The configuration is gone from the log as well; it is submitted anew to the new instance.
+    const int new_instance = c.add_instance();
+    // The configuration has expired from the log as well and isn't submitted again.
     c.run_for(milliseconds(500));
     const auto again = c.start_service_call(key);
     c.wait_until([&] { return again->ended; }, seconds(3));
     EXPECT_NE(again->result, outcome::not_run);
     EXPECT_LE(c.runs_of(key), 1);
-    (void)fresh;
+    (void)new_instance;
 }
 
-// A call has run; the log goes down; an instance starts that never read the claim. Asked with the
-// key it must not say "not run": the others, which it asks, remember.
+// A call is executed, the log goes down, and an instance starts that can't read the claim. When it
+// gets the same key it must not answer "not run": the other instances, which it asks, know the
+// claim.
 TEST(call_race_test, new_instance_in_a_log_outage_does_not_deny_a_run) {
     cluster c({});
     c.run_for(milliseconds(1'200));
@@ -239,9 +244,9 @@
     ASSERT_TRUE(c.wait_until([&] { return first->ended; }, seconds(10)));
     ASSERT_EQ(first->result, outcome::completed);
     c.command(c.log().addresses[0], {{"down", 1}});
-    const int fresh = c.add_instance();
-    ASSERT_TRUE(c.wait_until([&] { return c.version_at(fresh) > 0; }, seconds(8)));
-    const json::value answer = c.call_at(fresh, key);
+    const int new_instance = c.add_instance();
+    ASSERT_TRUE(c.wait_until([&] { return c.version_at(new_instance) > 0; }, seconds(8)));
+    const json::value answer = c.call_at(new_instance, key);
     ASSERT_TRUE(answer.is_object());
     EXPECT_EQ(text_at(answer.at("error"), "outcome"), "unknown") << json::serialize(answer);
     EXPECT_EQ(c.runs_of(key), 1);
--- a/test/system/cluster.cpp
+++ b/test/system/cluster.cpp
@@ -23,23 +23,23 @@
 
 namespace {
 
-const std::vector<std::string> domains = {"norra", "hamnen", "verket"};
-constexpr milliseconds start_limit{10'000};
-constexpr milliseconds request_limit{8'000};
+const std::vector<std::string> failure_domains = {"norra", "hamnen", "verket"};
+constexpr milliseconds start_timeout{10'000};
+constexpr milliseconds request_timeout{8'000};
 
-json::object demo_workspace(const std::string& name) {
+json::object workspace_value(const std::string& name) {
     return json::object{
         {"weight", 1},
         {"keys", json::array{json::object{{"id", "k"}, {"sha256", sha256_hex(name + "-key")}}}}};
 }
 
-json::array demo_changes() {
+json::array initial_changes() {
     const json::object operations{
         {"transfer", json::object{{"idempotent", false}, {"deadline_ms", 5000}}},
         {"lookup", json::object{{"idempotent", true}, {"deadline_ms", 3000}}}};
     return json::array{
-        json::object{{"entry", "workspaces/desk"}, {"value", demo_workspace("desk")}},
-        json::object{{"entry", "workspaces/traders"}, {"value", demo_workspace("traders")}},
+        json::object{{"entry", "workspaces/desk"}, {"value", workspace_value("desk")}},
+        json::object{{"entry", "workspaces/traders"}, {"value", workspace_value("traders")}},
         json::object{{"entry", "pools/drafting"}, {"value", json::object{{"model", "standard"}}}},
         json::object{{"entry", "services/registry"},
                      {"value", json::object{{"operations", operations}}}},
@@ -47,7 +47,7 @@
                      {"value", json::object{{"secret", "a-secret-for-tests-only"}}}}};
 }
 
-int ended_among(const std::vector<std::unique_ptr<member>>& members) {
+int count_ended(const std::vector<std::unique_ptr<member>>& members) {
     return static_cast<int>(std::count_if(members.begin(), members.end(), [](const auto& it) {
         return it->running->wait_for_end(milliseconds(0));
     }));
@@ -62,7 +62,8 @@
     posix_spawn_file_actions_addopen(&actions, 2, log_file.c_str(), O_WRONLY | O_CREAT | O_APPEND,
                                      0644);
     posix_spawn_file_actions_adddup2(&actions, 2, 1);
-    // Else a listening socket of this process stays open there after it has been closed here.
+    // Otherwise the child would inherit listening sockets and keep them open after this process
+    // has closed them.
     posix_spawn_file_actions_addclosefrom_np(&actions, 3);
     std::vector<char*> argv;
     std::string path = std::string(BIN_DIR) + "/" + program;
@@ -81,7 +82,7 @@
 process::~process() {
     if (!ended_) {
         signal(SIGKILL);
-        wait_for_end(start_limit);
+        wait_for_end(start_timeout);
     }
 }
 
@@ -107,38 +108,38 @@
     return ended_;
 }
 
-cluster::cluster(cluster_shape shape) : shape_(std::move(shape)) {
+cluster::cluster(cluster_options options) : options_(std::move(options)) {
     std::string pattern = (std::filesystem::temp_directory_path() / "bamboostream-XXXXXX").string();
     folder_ = mkdtemp(pattern.data());
-    start(log_, "standin-log", shape_.log_arguments, 1);
-    if (shape_.proxied_log) {
+    start(log_, "standin-log", options_.log_arguments, 1);
+    if (options_.proxied_log) {
         put_behind_proxy(log_);
     }
-    start(platform_, "standin-platform", shape_.platform_arguments, 1);
-    for (int i = 0; i < shape_.engines; ++i) {
+    start(platform_, "standin-platform", options_.platform_arguments, 1);
+    for (int i = 0; i < options_.engines; ++i) {
         auto m = std::make_unique<member>();
-        start(*m, "standin-engine", shape_.engine_arguments, 1);
-        if (shape_.proxied_engines) {
+        start(*m, "standin-engine", options_.engine_arguments, 1);
+        if (options_.proxied_engines) {
             put_behind_proxy(*m);
         }
-        m->failure_domain = domains[static_cast<std::size_t>(i) % domains.size()];
-        list(m->visible_address, "engine", "drafting", m->failure_domain);
+        m->failure_domain = failure_domains[static_cast<std::size_t>(i) % failure_domains.size()];
+        add_to_list(m->visible_address, "engine", "drafting", m->failure_domain);
         engines_.push_back(std::move(m));
     }
-    for (int i = 0; i < shape_.services; ++i) {
+    for (int i = 0; i < options_.services; ++i) {
         auto m = std::make_unique<member>();
-        start(*m, "standin-service", shape_.service_arguments, 1);
-        if (shape_.proxied_services) {
+        start(*m, "standin-service", options_.service_arguments, 1);
+        if (options_.proxied_services) {
             put_behind_proxy(*m);
         }
-        m->failure_domain = domains[static_cast<std::size_t>(i) % domains.size()];
-        list(m->visible_address, "service", "registry", m->failure_domain);
+        m->failure_domain = failure_domains[static_cast<std::size_t>(i) % failure_domains.size()];
+        add_to_list(m->visible_address, "service", "registry", m->failure_domain);
         services_.push_back(std::move(m));
     }
-    for (int i = 0; i < shape_.instances; ++i) {
+    for (int i = 0; i < options_.instances; ++i) {
         add_instance();
     }
-    const json::value verdict = submit(0, 0, demo_changes());
+    const json::value verdict = submit(0, 0, initial_changes());
     EXPECT_EQ(text_at(verdict, "fate"), "accepted") << json::serialize(verdict);
     const std::size_t backends = engines_.size() + services_.size();
     EXPECT_TRUE(wait_until(
@@ -154,7 +155,7 @@
             }
             return true;
         },
-        start_limit));
+        start_timeout));
 }
 
 cluster::~cluster() {
@@ -167,18 +168,18 @@
     std::filesystem::remove_all(folder_, ignored);
 }
 
-std::string cluster::next_name() {
-    return fmt::format("{}/m{}", folder_, names_++);
+std::string cluster::next_announce_path() {
+    return fmt::format("{}/m{}", folder_, announce_count_++);
 }
 
 void cluster::start(member& m, const std::string& program, std::vector<std::string> arguments,
                     std::size_t lines) {
-    const std::string name = next_name();
+    const std::string name = next_announce_path();
     arguments.push_back("--announce-file");
     arguments.push_back(name);
     m.arguments = arguments;
     m.running = std::make_unique<process>(program, arguments, name + ".log");
-    const time_point until = monotonic_now() + start_limit;
+    const time_point until = monotonic_now() + start_timeout;
     while (m.addresses.size() < lines && monotonic_now() < until) {
         m.addresses.clear();
         std::ifstream file(name);
@@ -193,7 +194,7 @@
 }
 
 void cluster::put_behind_proxy(member& m) {
-    const std::string name = next_name();
+    const std::string name = next_announce_path();
     const std::string proxied = name + ".proxied";
     m.proxy = std::make_unique<process>("fault-proxy",
                                         std::vector<std::string>{"--target", m.addresses[0],
@@ -202,7 +203,7 @@
                                         name + ".log");
     const auto read = [&](const std::string& file) {
         std::string line;
-        const time_point until = monotonic_now() + start_limit;
+        const time_point until = monotonic_now() + start_timeout;
         while (line.empty() && monotonic_now() < until) {
             std::ifstream input(file);
             std::getline(input, line);
@@ -217,28 +218,28 @@
 int cluster::add_instance() {
     const auto index = instances_.size();
     auto m = std::make_unique<member>();
-    m->failure_domain = domains[index % domains.size()];
+    m->failure_domain = failure_domains[index % failure_domains.size()];
     std::vector<std::string> arguments = {"--log",
                                           log_.visible_address,
                                           "--platform",
                                           platform_.visible_address,
                                           "--failure-domain",
                                           m->failure_domain};
-    arguments.insert(arguments.end(), shape_.instance_arguments.begin(),
-                     shape_.instance_arguments.end());
+    arguments.insert(arguments.end(), options_.instance_arguments.begin(),
+                     options_.instance_arguments.end());
     start(*m, "bamboostreamd", arguments, 3);
-    list(m->addresses[2], "instance", "", m->failure_domain);
+    add_to_list(m->addresses[2], "instance", "", m->failure_domain);
     instances_.push_back(std::move(m));
     return static_cast<int>(index);
 }
 
-void cluster::list(const std::string& address, const std::string& kind, const std::string& group,
-                   const std::string& domain) {
+void cluster::add_to_list(const std::string& address, const std::string& kind,
+                          const std::string& group, const std::string& failure_domain) {
     post(platform_.addresses[0], "/control/instances",
          json::object{{"address", address},
                       {"kind", kind},
                       {"group", group},
-                      {"failure_domain", domain},
+                      {"failure_domain", failure_domain},
                       {"state", "live"},
                       {"now", 1}});
 }
@@ -253,7 +254,7 @@
     post(address, "/control", body);
 }
 
-json::value cluster::exchange(const std::string& address, const http_request& request) {
+json::value cluster::send_request(const std::string& address, const http_request& request) {
     std::optional<http_response> response;
     bool done = false;
     http_failure why;
@@ -261,7 +262,7 @@
         context_,
         [&]() -> asio::awaitable<void> {
             response =
-                co_await fetch(context_.get_executor(), address, request, request_limit, why);
+                co_await fetch(context_.get_executor(), address, request, request_timeout, why);
             done = true;
         },
         asio::detached);
@@ -274,12 +275,12 @@
 }
 
 json::value cluster::get(const std::string& address, const std::string& target) {
-    return exchange(address, make_request("GET", target));
+    return send_request(address, make_request("GET", target));
 }
 
 json::value cluster::post(const std::string& address, const std::string& target,
                           const json::value& body) {
-    return exchange(address, make_request("POST", target, json::serialize(body)));
+    return send_request(address, make_request("POST", target, json::serialize(body)));
 }
 
 json::value cluster::call_at(int at, const std::string& key, const std::string& operation,
@@ -287,7 +288,7 @@
     http_request request = make_request("POST", "/v1/services/registry/" + operation, body);
     request.fields.push_back({"Authorization", "Bearer desk-key"});
     request.fields.push_back({"Idempotency-Key", key});
-    return exchange(instance(at).addresses[0], request);
+    return send_request(instance(at).addresses[0], request);
 }
 
 json::value cluster::complete_at(int at, const std::string& prompt) {
@@ -295,15 +296,15 @@
     http_request request = make_request("POST", "/v1/completions", json::serialize(body));
     request.fields.push_back({"Authorization", "Bearer desk-key"});
     request.fields.push_back({"Idempotency-Key", make_uuid_v7(wall_now())});
-    return exchange(instance(at).addresses[0], request);
+    return send_request(instance(at).addresses[0], request);
 }
 
 int cluster::ended_engines() {
-    return ended_among(engines_);
+    return count_ended(engines_);
 }
 
 int cluster::ended_services() {
-    return ended_among(services_);
+    return count_ended(services_);
 }
 
 json::value cluster::submit(int at, std::int64_t base, const json::array& changes,
@@ -419,7 +420,7 @@
     return call;
 }
 
-bool is_answer_to(const completion_result& result, const completion_call& call) {
+bool has_expected_tokens(const completion_result& result, const completion_call& call) {
     const std::string digest = sha256_hex(call.prompt).substr(0, 8);
     for (std::size_t i = 0; i < result.tokens.size(); ++i) {
         if (result.tokens[i] != fmt::format("{}.{} ", digest, i)) {
--- a/test/system/cordon_test.cpp
+++ b/test/system/cordon_test.cpp
@@ -1,4 +1,5 @@
-// A failure domain taken out of service through the product's own interface, with real processes.
+// Tests cordoning of a failure domain through the operators' API of the instances, with real
+// processes.
 
 #include "test/system/cluster.h"
 
@@ -13,7 +14,7 @@
     return json::array{json::object{{"entry", "cordons/norra"}, {"value", value}}};
 }
 
-/// Two engines and two services, the first of each in the failure domain "norra".
+/// A cluster with two engines and two services, the first of each in the failure domain "norra".
 class cordon_test : public testing::Test {
 protected:
     void change(const json::value& value) {
@@ -54,11 +55,11 @@
         }));
     }
 
-    cluster cluster_{cluster_shape{}};
+    cluster cluster_{cluster_options{}};
 };
 
-// The operator takes a failure domain out of service. Generations go to the other engine until it
-// is taken back; nobody is refused.
+// While a failure domain is cordoned, all generations run at the engine of the other failure domain
+// and no request is rejected. After the cordon is removed both engines get work again.
 TEST_F(cordon_test, gets_no_work_until_it_is_restored) {
     change(json::object{{"reason", "maintenance"}});
     const std::size_t before = generations_at(0);
@@ -72,10 +73,12 @@
     EXPECT_GT(generations_at(0), before);
 }
 
-// Calls run at the replica of the other failure domain, each once.
+// While a failure domain is cordoned, every call is executed once, by the replica of the other
+// failure domain.
 TEST_F(cordon_test, plain_services_get_no_calls) {
     change(json::object{});
-    // An instance that is younger than a key refuses it.
+    // An instance may reject a key that was made less than the clock skew (1 s) after the instance
+    // started.
     cluster_.run_for(milliseconds(1'200));
     const auto calls_at = [this](int service) {
         return cluster_.get(cluster_.service(service).addresses[0], "/v1/journal")
--- a/test/system/harmful_request_test.cpp
+++ b/test/system/harmful_request_test.cpp
@@ -1,5 +1,5 @@
-// Requests that end the process of every backend server which runs them, through the product's own
-// interface, with real processes.
+// Tests requests that crash every backend server which runs them, through the callers' API of the
+// instances, with real processes.
 
 #include "test/system/cluster.h"
 
@@ -14,11 +14,13 @@
 constexpr int servers = 8;
 constexpr int attempts = 8;
 
-struct interface_row {
+struct harmful_request_case {
     std::string name;
     json::value (*send)(cluster& c, int instance, const std::string& body);
     int (cluster::*ended)();
-    friend void PrintTo(const interface_row& row, std::ostream* out) { *out << row.name; }
+    friend void PrintTo(const harmful_request_case& param, std::ostream* out) {
+        *out << param.name;
+    }
 };
 
 json::value look_up(cluster& c, int instance, const std::string& body) {
@@ -37,10 +39,10 @@
     return error != nullptr ? text_at(*error, "code") : "";
 }
 
-class harmful_call : public testing::TestWithParam<interface_row> {
+class harmful_call : public testing::TestWithParam<harmful_request_case> {
 protected:
-    static cluster_shape shape() {
-        cluster_shape out;
+    static cluster_options options() {
+        cluster_options out;
         out.engines = servers;
         out.services = servers;
         out.engine_arguments = {"--end-on", harmful};
@@ -51,14 +53,16 @@
 
 INSTANTIATE_TEST_SUITE_P(
     table, harmful_call,
-    testing::Values(interface_row{"that_may_be_repeated", look_up, &cluster::ended_services},
-                    interface_row{"that_runs_once", transfer, &cluster::ended_services},
-                    interface_row{"that_is_a_generation", complete, &cluster::ended_engines}),
+    testing::Values(harmful_request_case{"that_may_be_repeated", look_up, &cluster::ended_services},
+                    harmful_request_case{"that_runs_once", transfer, &cluster::ended_services},
+                    harmful_request_case{"that_is_a_generation", complete,
+                                         &cluster::ended_engines}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against a caller that ends all servers by sending one request to instance after instance.
+// Guards against one request that crashes all servers because its caller sends it to one instance
+// after the other. After three crashes it is rejected; other requests still succeed.
 TEST_P(harmful_call, ends_no_more_than_three_servers) {
-    cluster c(shape());
+    cluster c(options());
     json::value last;
     for (int i = 0; i < attempts; ++i) {
         last = GetParam().send(c, i % c.instance_count(), harmful);
--- a/test/system/instance_faults_test.cpp
+++ b/test/system/instance_faults_test.cpp
@@ -1,4 +1,5 @@
-// Configuration, membership, leaving and shutdown under faults, with real processes.
+// Tests configuration, membership, draining of backend servers and shutdown under faults, with real
+// processes.
 
 #include "test/system/cluster.h"
 
@@ -19,7 +20,7 @@
     return json::array{json::object{{"entry", "workspaces/" + workspace}, {"value", value}}};
 }
 
-std::set<std::string> offered(cluster& c, int instance) {
+std::set<std::string> directory_addresses(cluster& c, int instance) {
     std::set<std::string> out;
     const json::value answer = c.get(c.instance(instance).addresses[0], "/v1/entries");
     if (answer.is_object()) {
@@ -30,8 +31,8 @@
     return out;
 }
 
-// Two operators submit to different instances from the same base, for the same entry. Exactly one
-// is accepted, the other is told which entry changed, and all instances agree.
+// Three operators change the same entry through different instances, from the same base version.
+// Exactly one change is accepted; a conflict names the entry that has changed meanwhile.
 TEST(configuration_fault_test, racing_operators_one_wins) {
     cluster c({});
     const std::int64_t base = c.version_at(0);
@@ -49,7 +50,7 @@
     EXPECT_EQ(accepted, 1);
 }
 
-// Operators of different workspaces submit from the same base: none collides.
+// Changes to different workspaces from the same base version don't conflict.
 TEST(configuration_fault_test, different_workspaces_do_not_collide) {
     cluster c({});
     const std::int64_t base = c.version_at(0);
@@ -57,8 +58,9 @@
     EXPECT_EQ(text_at(c.submit(1, base, weight_change("traders", 4)), "fate"), "accepted");
 }
 
-// Operators see resume keys with their secrets hidden. Sending such a key back changes its other
-// fields and keeps the secret; sending what is in force changes nothing.
+// Operators read resume keys with the secret replaced by a placeholder. Submitting a key with the
+// placeholder changes its other fields and keeps the secret; submitting the value in force changes
+// nothing.
 TEST(configuration_fault_test, hidden_secrets_are_kept) {
     cluster c({});
     const auto key = [](bool active) {
@@ -77,8 +79,8 @@
     EXPECT_EQ(result->result, outcome::completed);
 }
 
-// The log takes a submission and loses the answer. The operator is told "accepted" all the same,
-// because the record is read back; submitting again with the same id changes nothing.
+// The log appends a submission but its answer is lost. The operator still gets "accepted", because
+// the instance reads the record back. Submitting again with the same id changes nothing.
 TEST(configuration_fault_test, lost_append_answer_is_settled_by_reading) {
     cluster c({});
     c.command(c.log().addresses[0], {{"lose_answers", 1.0}});
@@ -92,8 +94,8 @@
     EXPECT_EQ(c.version_at(0), version);
 }
 
-// The log is down: the configuration in force stays, an instance that starts meanwhile learns it
-// from a peer, and once the log is back a change is in force everywhere within five seconds.
+// During a log outage the configuration stays in force and an instance that starts gets it from a
+// peer. After the outage a change is in force at all instances within five seconds.
 TEST(configuration_fault_test, instance_started_during_log_outage_learns_from_peers) {
     cluster c({});
     const std::int64_t version = c.version_at(0);
@@ -116,12 +118,12 @@
         seconds(5)));
 }
 
-// The log's records expire while instances live. An instance that starts afterwards finds only a
-// snapshot, or nothing and asks a peer; it never has an older version.
+// All records of the log expire while instances run. An instance that starts afterwards gets the
+// current version, never an older one, from a snapshot or, if the log has none yet, from a peer.
 TEST(configuration_fault_test, expired_records_are_replaced_by_snapshot_or_peer) {
-    cluster_shape shape;
-    shape.instance_arguments = {"--snapshot-period-ms", "500"};
-    cluster c(shape);
+    cluster_options options;
+    options.instance_arguments = {"--snapshot-period-ms", "500"};
+    cluster c(options);
     const json::value verdict = c.submit(0, c.version_at(0), weight_change("desk", 9));
     const std::int64_t version = number_at(verdict, "version");
     c.command(c.log().addresses[0], {{"expire_all", 1}});
@@ -129,52 +131,58 @@
     EXPECT_TRUE(c.wait_until([&] { return c.version_at(fresh) == version; }, seconds(8)));
 }
 
-// An instance dies without a word. Within two seconds no directory offers it any more.
+// After an instance is killed, the directories of the others drop it within two seconds.
 TEST(membership_fault_test, dead_instance_leaves_the_directory_within_two_seconds) {
     cluster c({});
     const std::string dead = c.instance(2).addresses[0];
-    ASSERT_TRUE(c.wait_until([&] { return offered(c, 0).contains(dead); }, seconds(3)));
+    ASSERT_TRUE(c.wait_until([&] { return directory_addresses(c, 0).contains(dead); }, seconds(3)));
     c.instance(2).running->signal(SIGKILL);
     const time_point killed = monotonic_now();
-    ASSERT_TRUE(
-        c.wait_until([&] { return !offered(c, 0).contains(dead) && !offered(c, 1).contains(dead); },
-                     seconds(5)));
+    ASSERT_TRUE(c.wait_until(
+        [&] {
+            return !directory_addresses(c, 0).contains(dead) &&
+                   !directory_addresses(c, 1).contains(dead);
+        },
+        seconds(5)));
     EXPECT_LE(to_milliseconds(monotonic_now() - killed), 2'300.0);
 }
 
-// An instance is frozen for ten seconds and wakes. The others drop it, it does not accuse them when
-// it wakes, and it is offered again.
+// An instance is stopped (SIGSTOP) for about ten seconds and then continued. The others drop it
+// from the directory meanwhile and list it again afterwards. When it continues it must not report
+// the others as dead.
 TEST(membership_fault_test, frozen_instance_is_dropped_and_comes_back) {
     cluster c({});
     const std::string frozen = c.instance(2).addresses[0];
     c.instance(2).running->signal(SIGSTOP);
-    EXPECT_TRUE(c.wait_until([&] { return !offered(c, 0).contains(frozen); }, seconds(4)));
+    EXPECT_TRUE(
+        c.wait_until([&] { return !directory_addresses(c, 0).contains(frozen); }, seconds(4)));
     c.run_for(seconds(8));
     c.instance(2).running->signal(SIGCONT);
-    EXPECT_TRUE(c.wait_until([&] { return offered(c, 0).contains(frozen); }, seconds(6)));
-    EXPECT_EQ(offered(c, 2).size(), 3U);
+    EXPECT_TRUE(
+        c.wait_until([&] { return directory_addresses(c, 0).contains(frozen); }, seconds(6)));
+    EXPECT_EQ(directory_addresses(c, 2).size(), 3U);
 }
 
-// The platform's list still names a dead instance and is then down: the directory is right all the
-// same, and never empty.
+// The platform's list still contains instances that are dead, and the platform is down. The
+// directory must drop the dead instances all the same and must not become empty.
 TEST(membership_fault_test, stale_list_and_list_outage) {
     cluster c({});
     c.instance(1).running->signal(SIGKILL);
     c.command(c.platform().addresses[0], {{"down", 1}});
-    EXPECT_TRUE(c.wait_until([&] { return offered(c, 0).size() == 2; }, seconds(5)));
+    EXPECT_TRUE(c.wait_until([&] { return directory_addresses(c, 0).size() == 2; }, seconds(5)));
     c.instance(2).running->signal(SIGKILL);
-    EXPECT_TRUE(c.wait_until([&] { return offered(c, 0).size() == 1; }, seconds(5)));
+    EXPECT_TRUE(c.wait_until([&] { return directory_addresses(c, 0).size() == 1; }, seconds(5)));
 }
 
-struct leaving_way {
+struct leaving_case {
     const char* name;
     bool service;
-    friend void PrintTo(const leaving_way& way, std::ostream* out) { *out << way.name; }
+    friend void PrintTo(const leaving_case& param, std::ostream* out) { *out << param.name; }
 };
-class leaving_test : public testing::TestWithParam<leaving_way> {};
+class leaving_test : public testing::TestWithParam<leaving_case> {};
 
-// A backend server says in its own status that it leaves, while the platform's list goes on calling
-// it live. After three seconds it gets no new work, and requests go on to succeed elsewhere.
+// A backend server reports in its own status that it is leaving, while the platform's list still
+// shows it as live. After three seconds it gets no new work and requests succeed at other servers.
 TEST_P(leaving_test, no_new_work_after_three_seconds) {
     cluster c({});
     member& leaving = GetParam().service ? c.service(0) : c.engine(0);
@@ -210,12 +218,12 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(ways, leaving_test,
-                         testing::Values(leaving_way{"engine", false},
-                                         leaving_way{"service", true}),
+                         testing::Values(leaving_case{"engine", false},
+                                         leaving_case{"service", true}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// All instances are replaced one after the other, gracefully, while callers go on. Every request
-// ends completed, with its whole answer.
+// All instances are replaced one after the other by a graceful shutdown (SIGTERM) while callers
+// send requests. Every request completes with all its tokens.
 TEST(shutdown_test, rolling_replacement_loses_nothing) {
     cluster c({});
     std::vector<completion_call> calls;
@@ -248,7 +256,7 @@
         seconds(30)));
     for (std::size_t i = 0; i < results.size(); ++i) {
         EXPECT_EQ(results[i]->result, outcome::completed) << results[i]->message;
-        EXPECT_TRUE(is_answer_to(*results[i], calls[i]));
+        EXPECT_TRUE(has_expected_tokens(*results[i], calls[i]));
         EXPECT_EQ(results[i]->declared_tokens, results[i]->tokens.size());
     }
 }
--- a/test/system/order_faults_test.cpp
+++ b/test/system/order_faults_test.cpp
@@ -1,4 +1,4 @@
-// Placement orders under faults, with real processes.
+// Tests placement orders under faults, with real processes.
 
 #include "test/system/cluster.h"
 
@@ -10,14 +10,14 @@
 
 namespace json = boost::json;
 
-json::array want_version(const std::string& version) {
+json::array version_change(const std::string& version) {
     return json::array{json::object{
         {"entry", "pools/drafting"},
         {"value",
          json::object{{"model", "standard"}, {"version", version}, {"least_serving", 1}}}}};
 }
 
-bool all_at(cluster& c, int engines, const std::string& version) {
+bool all_at_version(cluster& c, int engines, const std::string& version) {
     for (int i = 0; i < engines; ++i) {
         const json::value status = c.get(c.engine(i).addresses[0], "/v1/status");
         if (text_at(status, "version") != version || text_at(status, "state") != "live") {
@@ -30,11 +30,11 @@
 struct order_fault {
     const char* name;
     bool ignore_fencing;
-    void (*strike)(cluster& c);
+    void (*inject)(cluster& c);
     friend void PrintTo(const order_fault& f, std::ostream* out) { *out << f.name; }
 };
 
-void nothing(cluster&) {}
+void no_fault(cluster&) {}
 void freeze_each_in_turn(cluster& c) {
     for (int i = 0; i < 3; ++i) {
         c.instance(i).running->signal(SIGSTOP);
@@ -53,27 +53,28 @@
 
 class order_fault_test : public testing::TestWithParam<order_fault> {};
 
-// An operator wants another version. All engines end up at it, whoever held the lease in between,
-// and requests are served all the while, because never more than one engine loads at a time.
+// An operator changes the model version of a pool. All engines must reach the new version, even if
+// the lease on placement changes its holder meanwhile. Requests complete throughout, because at
+// most one engine loads at a time.
 TEST_P(order_fault_test, engines_converge_and_serving_goes_on) {
-    cluster_shape shape;
-    shape.engines = 3;
-    shape.engine_arguments = {"--load-ms", "600"};
+    cluster_options options;
+    options.engines = 3;
+    options.engine_arguments = {"--load-ms", "600"};
     if (GetParam().ignore_fencing) {
-        shape.engine_arguments.emplace_back("--ignore-fencing");
+        options.engine_arguments.emplace_back("--ignore-fencing");
     }
-    cluster c(shape);
-    const json::value verdict = c.submit(0, c.version_at(0), want_version("2"));
+    cluster c(options);
+    const json::value verdict = c.submit(0, c.version_at(0), version_change("2"));
     ASSERT_EQ(text_at(verdict, "fate"), "accepted") << json::serialize(verdict);
     c.run_for(milliseconds(300));
-    GetParam().strike(c);
+    GetParam().inject(c);
     std::vector<std::shared_ptr<completion_result>> results;
     const time_point until = monotonic_now() + seconds(30);
-    while (!all_at(c, 3, "2") && monotonic_now() < until) {
+    while (!all_at_version(c, 3, "2") && monotonic_now() < until) {
         results.push_back(c.start_completion(make_call("label")));
         c.run_for(milliseconds(100));
     }
-    EXPECT_TRUE(all_at(c, 3, "2"));
+    EXPECT_TRUE(all_at_version(c, 3, "2"));
     ASSERT_TRUE(c.wait_until(
         [&] {
             return std::all_of(results.begin(), results.end(),
@@ -84,7 +85,7 @@
         EXPECT_EQ(r->result, outcome::completed) << r->message;
     }
     for (int i = 0; i < 3; ++i) {
-        // No order was carried out under a number lower than one before it.
+        // An engine must not execute an order whose fencing number is lower than an earlier one's.
         std::int64_t last = -1;
         const json::value journal = c.get(c.engine(i).addresses[0], "/v1/journal");
         for (const json::value& order : journal.at("orders").as_array()) {
@@ -101,8 +102,8 @@
 
 INSTANTIATE_TEST_SUITE_P(
     faults, order_fault_test,
-    testing::Values(order_fault{"none", false, nothing},
-                    order_fault{"none_ignoring_fencing", true, nothing},
+    testing::Values(order_fault{"none", false, no_fault},
+                    order_fault{"none_ignoring_fencing", true, no_fault},
                     order_fault{"holders_frozen_in_turn", false, freeze_each_in_turn},
                     order_fault{"holders_frozen_ignoring_fencing", true, freeze_each_in_turn},
                     order_fault{"log_outage", false, log_outage},
--- a/test/system/stream_faults_test.cpp
+++ b/test/system/stream_faults_test.cpp
@@ -1,4 +1,4 @@
-// Streams under faults: real processes, with fault proxies before the engines.
+// Tests streams under faults, with real processes and fault proxies in front of the engines.
 
 #include "test/system/cluster.h"
 
@@ -8,27 +8,29 @@
 namespace bamboostream::test {
 namespace {
 
-/// A fault, when it strikes, and what the caller must see.
+/// A fault, when it is injected, and what the caller must observe.
 struct stream_fault {
     const char* name;
-    void (*strike)(cluster& c);
-    /// Whether it strikes before the first token or in the middle.
+    void (*inject)(cluster& c);
+    /// Whether the fault is injected before the first token or in the middle of the stream.
     bool before_first_token;
     bool restart_on_loss;
-    /// The only outcomes allowed.
+    /// The outcomes that the caller may get.
     std::vector<outcome> allowed;
-    /// Longest silence that the caller may see, milliseconds; 0 for no bound.
+    /// The longest gap between two tokens that the caller may observe, in milliseconds; 0 for no
+    /// limit.
     double longest_gap_ms;
-    void (*heal)(cluster& c) = nullptr;
-    duration heal_after = milliseconds(0);
+    void (*end_fault)(cluster& c) = nullptr;
+    duration end_fault_after = milliseconds(0);
     friend void PrintTo(const stream_fault& fault, std::ostream* out) { *out << fault.name; }
 };
 
-void on_busy_engine(cluster& c, const std::function<void(member&)>& strike) {
+/// Injects a fault at the engine that runs the generation.
+void on_busy_engine(cluster& c, const std::function<void(member&)>& inject) {
     for (int i = 0; i < 2; ++i) {
         const auto journal = c.get(c.engine(i).addresses[0], "/v1/journal");
         if (!journal.at("generations").as_array().empty()) {
-            strike(c.engine(i));
+            inject(c.engine(i));
             return;
         }
     }
@@ -49,7 +51,7 @@
 void freeze_open_links(cluster& c) {
     on_busy_engine(c, [&](member& m) { c.command(m.proxy_control, {{"freeze", 1}}); });
 }
-void heal_links(cluster& c) {
+void restore_links(cluster& c) {
     for (int i = 0; i < 2; ++i) {
         c.command(c.engine(i).proxy_control,
                   {{"stalled", 0}, {"lose_answers", 0}, {"lose_requests", 0}, {"refuse", 0}});
@@ -70,11 +72,11 @@
     on_busy_engine(c, [&](member& m) { c.command(m.addresses[0], {{"misbehave", 6}}); });
 }
 int open_streams(cluster& c, int i) {
-    // The status request itself is not counted: it comes over the operators' port.
+    // Doesn't include this status request, because requests to the operators' port aren't counted.
     return static_cast<int>(
         number_at(c.get(c.instance(i).addresses[1], "/v1/status"), "open_requests"));
 }
-void kill_busy_entry(cluster& c) {
+void kill_busy_instance(cluster& c) {
     for (int i = 0; i < c.instance_count(); ++i) {
         if (open_streams(c, i) > 0) {
             c.instance(i).running->signal(SIGKILL);
@@ -82,7 +84,7 @@
         }
     }
 }
-void freeze_busy_entry(cluster& c) {
+void freeze_busy_instance(cluster& c) {
     for (int i = 0; i < c.instance_count(); ++i) {
         if (open_streams(c, i) > 0) {
             c.instance(i).running->signal(SIGSTOP);
@@ -90,7 +92,7 @@
         }
     }
 }
-void thaw(cluster& c) {
+void resume_instances(cluster& c) {
     for (int i = 0; i < c.instance_count(); ++i) {
         c.instance(i).running->signal(SIGCONT);
     }
@@ -100,11 +102,11 @@
     c.run_for(milliseconds(150));
     cut_link(c);
 }
-void cut_and_kill_entry(cluster& c) {
+void cut_link_and_kill_instance(cluster& c) {
     cut_link(c);
-    kill_busy_entry(c);
+    kill_busy_instance(c);
 }
-void drain_busy_entry(cluster& c) {
+void drain_busy_instance(cluster& c) {
     for (int i = 0; i < c.instance_count(); ++i) {
         if (open_streams(c, i) > 0) {
             c.instance(i).running->signal(SIGTERM);
@@ -134,7 +136,7 @@
      false,
      {outcome::completed},
      0.0,
-     heal_links,
+     restore_links,
      seconds(2)},
     {"answers_lost_for_two_seconds",
      lose_answers,
@@ -142,7 +144,7 @@
      false,
      {outcome::completed},
      0.0,
-     heal_links,
+     restore_links,
      seconds(2)},
     {"requests_lost_before_first_token",
      lose_requests,
@@ -150,7 +152,7 @@
      false,
      {outcome::completed},
      0.0,
-     heal_links,
+     restore_links,
      seconds(1)},
     {"engine_sends_foreign_doubled_and_disordered_events",
      misbehave,
@@ -158,55 +160,61 @@
      false,
      {outcome::completed},
      1000.0},
-    {"entry_killed_in_the_middle", kill_busy_entry, false, false, {outcome::completed}, 2500.0},
+    {"entry_killed_in_the_middle", kill_busy_instance, false, false, {outcome::completed}, 2500.0},
     {"entry_frozen_for_ten_seconds",
-     freeze_busy_entry,
+     freeze_busy_instance,
      false,
      false,
      {outcome::completed},
      2500.0,
-     thaw,
+     resume_instances,
      seconds(10)},
     {"entry_killed_and_link_cut_together",
-     cut_and_kill_entry,
+     cut_link_and_kill_instance,
      false,
      false,
      {outcome::completed},
      2500.0},
-    {"entry_drained_in_the_middle", drain_busy_entry, false, false, {outcome::completed}, 1000.0},
+    {"entry_drained_in_the_middle",
+     drain_busy_instance,
+     false,
+     false,
+     {outcome::completed},
+     1000.0},
     {"log_and_list_down", log_and_list_down, false, false, {outcome::completed}, 1000.0},
 };
 
 class stream_fault_test : public testing::TestWithParam<stream_fault> {};
 
-// The caller sees one of the allowed outcomes, with every token once, in order, of one generation
-// and of its own answer; the system goes on. The fault strikes a running stream or one whose first
-// token has not come; the caller library reconnects, resumes or repeats by itself. It works because
-// the handle names the generation and each token its number, so nothing depends on who relays it.
-TEST_P(stream_fault_test, caller_sees_an_honest_whole) {
+// Guards against lost, duplicated, reordered or foreign tokens when a fault hits a stream, before
+// its first token or in the middle. The caller must get one of the allowed outcomes and every token
+// once, in order, from a single generation. The caller library reconnects, resumes or repeats the
+// call by itself. This holds because the resume handle identifies the generation and every token
+// has a sequence number, so it doesn't matter which instance relays the stream.
+TEST_P(stream_fault_test, caller_gets_allowed_outcome_and_intact_tokens) {
     const stream_fault& fault = GetParam();
-    cluster_shape shape;
-    shape.proxied_engines = true;
-    shape.engine_arguments = {"--step-base-ms", "20"};
+    cluster_options options;
+    options.proxied_engines = true;
+    options.engine_arguments = {"--step-base-ms", "20"};
     if (fault.before_first_token) {
-        shape.engine_arguments.insert(shape.engine_arguments.end(),
-                                      {"--prefill-ms-per-token", "25"});
+        options.engine_arguments.insert(options.engine_arguments.end(),
+                                        {"--prefill-ms-per-token", "25"});
     }
-    cluster c(shape);
+    cluster c(options);
     completion_call call = make_call("constant");
     call.restart_on_loss = fault.restart_on_loss;
     const auto result = c.start_completion(call);
     c.run_for(milliseconds(400));
-    fault.strike(c);
-    if (fault.heal != nullptr) {
-        c.run_for(fault.heal_after);
-        fault.heal(c);
+    fault.inject(c);
+    if (fault.end_fault != nullptr) {
+        c.run_for(fault.end_fault_after);
+        fault.end_fault(c);
     }
     ASSERT_TRUE(c.wait_until([&] { return result->ended; }, seconds(25)));
     EXPECT_NE(std::find(fault.allowed.begin(), fault.allowed.end(), result->result),
               fault.allowed.end())
         << to_string(result->result) << " " << result->message;
-    EXPECT_TRUE(is_answer_to(*result, call));
+    EXPECT_TRUE(has_expected_tokens(*result, call));
     EXPECT_EQ(result->declared_tokens, result->tokens.size());
     if (result->result == outcome::completed) {
         EXPECT_EQ(result->tokens.size(), 64U);
@@ -221,8 +229,8 @@
 INSTANTIATE_TEST_SUITE_P(faults, stream_fault_test, testing::ValuesIn(stream_faults),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// Two callers send the same key at once through different instances. Both get the whole answer,
-// and the engines ran it once: the second attached to the stream of the first.
+// Two callers send the same key concurrently through different instances. Both get the complete
+// answer from one generation, because the second call attaches to the stream of the first.
 TEST(stream_attach_test, same_key_twice_runs_once) {
     cluster c({});
     const completion_call call = make_call("constant");
@@ -231,8 +239,8 @@
     ASSERT_TRUE(c.wait_until([&] { return first->ended && second->ended; }, seconds(20)));
     EXPECT_EQ(first->result, outcome::completed);
     EXPECT_EQ(second->result, outcome::completed);
-    EXPECT_TRUE(is_answer_to(*first, call));
-    EXPECT_TRUE(is_answer_to(*second, call));
+    EXPECT_TRUE(has_expected_tokens(*first, call));
+    EXPECT_TRUE(has_expected_tokens(*second, call));
     EXPECT_EQ(c.generations_of(call.key), 1);
 }
 
