--- a/bamboostream/src/Client/caller.cpp
+++ b/bamboostream/src/Client/caller.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr milliseconds retry_pause{50};
-constexpr std::size_t used_entries = 4;
+constexpr std::size_t max_addresses = 4;
 
 outcome parse_outcome(std::string_view name) {
     static constexpr std::array all = {outcome::completed, outcome::not_run, outcome::incomplete,
@@ -28,17 +28,17 @@
     return found == all.end() ? outcome::unknown : *found;
 }
 
-/// Closes a stream that has been silent for too long.
+/// State shared with the coroutine that closes a stream after too long without received data.
 struct silence_guard {
     http_stream* stream = nullptr;
-    time_point last_bytes = monotonic_now();
+    time_point last_received = monotonic_now();
     bool ended = false;
 };
 
-asio::awaitable<void> guard_silence(std::shared_ptr<silence_guard> guard, milliseconds limit) {
+asio::awaitable<void> close_when_silent(std::shared_ptr<silence_guard> guard, milliseconds limit) {
     while (!guard->ended) {
         co_await pause_for(limit / 8);
-        const bool silent = monotonic_now() - guard->last_bytes > limit;
+        const bool silent = monotonic_now() - guard->last_received > limit;
         if (!guard->ended && guard->stream != nullptr && silent) {
             guard->stream->close();
             guard->stream = nullptr;
@@ -48,7 +48,7 @@
 
 } // namespace
 
-/// What is known of a request between connections.
+/// State of a request that is kept across connections.
 struct caller::stream_state {
     std::string handle;
     std::string generation;
@@ -63,10 +63,10 @@
       addresses_(options_.seeds) {}
 
 asio::awaitable<void> caller::refresh_directory() {
-    std::vector<std::string> ask = addresses_;
-    std::shuffle(ask.begin(), ask.end(), random_);
-    ask.insert(ask.end(), options_.seeds.begin(), options_.seeds.end());
-    for (const std::string& address : ask) {
+    std::vector<std::string> candidates = addresses_;
+    std::shuffle(candidates.begin(), candidates.end(), random_);
+    candidates.insert(candidates.end(), options_.seeds.begin(), options_.seeds.end());
+    for (const std::string& address : candidates) {
         http_failure why;
         http_request request =
             make_request("GET", "/v1/entries?near=" + percent_encode(options_.failure_domain));
@@ -86,7 +86,7 @@
         for (const json::value& entry : entries->get_array()) {
             addresses_.push_back(text_at(entry, "address"));
         }
-        addresses_.resize(std::min(addresses_.size(), used_entries));
+        addresses_.resize(std::min(addresses_.size(), max_addresses));
         valid_until_ = monotonic_now() + milliseconds(number_at(*value, "valid_for_ms", 1000));
         co_return;
     }
@@ -99,18 +99,18 @@
     }
     std::vector<std::string> usable = addresses_;
     if (usable.size() > 1) {
-        std::erase(usable, avoided_);
+        std::erase(usable, avoided_address_);
     }
     std::uniform_int_distribution<std::size_t> pick(0, usable.size() - 1);
     co_return usable[pick(random_)];
 }
 
 void caller::avoid(const std::string& address) {
-    avoided_ = address;
+    avoided_address_ = address;
     valid_until_ = {};
 }
 
-http_request caller::make_start(const completion_call& call) const {
+http_request caller::make_start_request(const completion_call& call) const {
     json::object body{{"model", call.model},
                       {"prompt", call.prompt},
                       {"kind", call.kind},
@@ -133,9 +133,9 @@
     completion_result result;
     stream_state state;
     state.started = monotonic_now();
-    const time_point give_up = state.started + options_.patience;
-    while (!state.done && monotonic_now() < give_up) {
-        if (!co_await open_and_read(call, state, result, listener)) {
+    const time_point give_up_at = state.started + options_.patience;
+    while (!state.done && monotonic_now() < give_up_at) {
+        if (!co_await run_connection(call, state, result, listener)) {
             ++result.reconnects;
             co_await pause_for(retry_pause);
         }
@@ -145,7 +145,7 @@
     co_return result;
 }
 
-void caller::take_refusal(int status, const std::string& body, completion_result& result) {
+void caller::read_refusal(int status, const std::string& body, completion_result& result) {
     std::string reason;
     const auto value = parse_json(body, reason);
     const json::value* error =
@@ -159,17 +159,17 @@
     }
 }
 
-/// One connection: starts the request, or resumes it when its handle is known. True when the
-/// request has ended.
-asio::awaitable<bool> caller::open_and_read(const completion_call& call, stream_state& state,
-                                            completion_result& result,
-                                            const token_listener& listener) {
+/// Handles one connection: starts the request, or resumes its stream when tokens have been received
+/// already. Returns true when the request has ended.
+asio::awaitable<bool> caller::run_connection(const completion_call& call, stream_state& state,
+                                             completion_result& result,
+                                             const token_listener& listener) {
     const std::string address = co_await choose_address();
     const bool resuming = !state.handle.empty() && state.next > 0;
     http_request request =
         resuming
             ? make_request("GET", fmt::format("/v1/streams/{}?from={}", state.handle, state.next))
-            : make_start(call);
+            : make_start_request(call);
     request.fields.push_back({"Authorization", "Bearer " + options_.bearer_key});
     http_failure why;
     auto stream = co_await open_http_stream(executor_, address, std::move(request),
@@ -179,27 +179,27 @@
         co_return false;
     }
     auto guard = std::make_shared<silence_guard>();
-    asio::co_spawn(executor_, guard_silence(guard, options_.silence_limit), asio::detached);
+    asio::co_spawn(executor_, close_when_silent(guard, options_.silence_limit), asio::detached);
     std::string refusal;
     event_reader reader;
     const bool streaming = stream->status() == 200;
     bool more = true;
     while (more && !state.done) {
         guard->stream = stream.get();
-        guard->last_bytes = monotonic_now();
+        guard->last_received = monotonic_now();
         more = co_await stream->read(streaming ? reader.buffer() : refusal);
         guard->stream = nullptr;
         event_reader::event event;
         while (streaming && !state.done && reader.next(event)) {
             if (!event.comment_only) {
-                take_event(event.type, event.data, state, result, listener);
+                handle_event(event.type, event.data, state, result, listener);
             }
         }
     }
     guard->ended = true;
     if (!streaming && stream->complete()) {
-        take_refusal(stream->status(), refusal, result);
-        // An instance that is leaving says so before anything ran; another one may take it.
+        read_refusal(stream->status(), refusal, result);
+        // These refusals are sent before anything has run, so another instance may be tried.
         if (result.message == "leaving" || result.message == "not_ready") {
             avoid(address);
             co_return false;
@@ -212,9 +212,10 @@
     co_return state.done;
 }
 
-/// False when the event was none of this request's.
-bool caller::take_event(std::string_view type, std::string_view data, stream_state& state,
-                        completion_result& result, const token_listener& listener) {
+/// Applies one event to the request. Returns false when the event was ignored: malformed, of
+/// another generation, or not the next token.
+bool caller::handle_event(std::string_view type, std::string_view data, stream_state& state,
+                          completion_result& result, const token_listener& listener) {
     if (data == "[DONE]") {
         return true;
     }
@@ -279,8 +280,8 @@
                                                      std::string key, std::string body,
                                                      milliseconds timeout) {
     service_result result;
-    const time_point give_up = monotonic_now() + options_.patience;
-    while (monotonic_now() < give_up) {
+    const time_point give_up_at = monotonic_now() + options_.patience;
+    while (monotonic_now() < give_up_at) {
         const std::string address = co_await choose_address();
         http_request request = make_request(
             "POST",
@@ -304,7 +305,7 @@
             co_return result;
         }
         completion_result refusal;
-        take_refusal(response->status, response->body, refusal);
+        read_refusal(response->status, response->body, refusal);
         result.result = refusal.result;
         result.message = refusal.message;
         result.retry_after = refusal.retry_after;
--- a/bamboostream/src/Entry/authentication.cpp
+++ b/bamboostream/src/Entry/authentication.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr std::string_view scheme = "Bearer ";
-constexpr std::size_t longest_key = 200;
+constexpr std::size_t max_key_length = 200;
 } // namespace
 
 std::optional<workspace_id> authenticate(const http_request& request,
@@ -24,8 +24,8 @@
     return workspace_id(owner);
 }
 
-bool is_usable_key(std::string_view key) {
-    return !key.empty() && key.size() <= longest_key &&
+bool is_valid_idempotency_key(std::string_view key) {
+    return !key.empty() && key.size() <= max_key_length &&
            std::all_of(key.begin(), key.end(),
                        [](unsigned char c) { return c > 0x20 && c < 0x7f; });
 }
--- a/bamboostream/src/Entry/authentication.h
+++ b/bamboostream/src/Entry/authentication.h
@@ -8,12 +8,13 @@
 
 namespace bamboostream {
 
-/// The workspace whose bearer key the request carries; nothing when there is none or the key is
-/// unknown.
+/// Returns the workspace that owns the bearer key in the request's `Authorization` field, or
+/// nullopt when the field is absent, uses another scheme, or holds an unknown key.
 std::optional<workspace_id> authenticate(const http_request& request,
                                          const configuration_document& document);
 
-/// Whether a caller's key is printable and short enough to be stored and passed on.
-bool is_usable_key(std::string_view key);
+/// Whether an idempotency key is non-empty, printable ASCII without spaces and at most 200 bytes
+/// long, so that it can be stored and forwarded.
+bool is_valid_idempotency_key(std::string_view key);
 
 } // namespace bamboostream
--- a/bamboostream/src/Entry/completion_handler.cpp
+++ b/bamboostream/src/Entry/completion_handler.cpp
@@ -15,12 +15,12 @@
 
 namespace {
 
-constexpr int most_attempts = 8;
-constexpr milliseconds attach_poll{50};
-/// When an engine was lost, another try may start at once elsewhere.
-constexpr milliseconds come_back_after_loss{100};
-constexpr milliseconds come_back_when_leaving{50};
-constexpr milliseconds come_back_when_not_ready{500};
+constexpr int max_attempts = 8;
+constexpr milliseconds attach_poll_period{50};
+/// Short, because after the loss of an engine a retry can start on another one at once.
+constexpr milliseconds retry_delay_after_loss{100};
+constexpr milliseconds retry_delay_when_leaving{50};
+constexpr milliseconds retry_delay_when_not_ready{500};
 
 } // namespace
 
@@ -36,14 +36,14 @@
 }
 
 bool completion_handler::check(error_answer& problem) {
-    if (core_.closed) {
+    if (core_.refusing_new_work) {
         problem = make_refusal("leaving", "this instance is shutting down; ask for other addresses",
-                               come_back_when_leaving);
+                               retry_delay_when_leaving);
         return false;
     }
     if (core_.configuration->version() == 0) {
-        problem =
-            make_refusal("not_ready", "no configuration is in force yet", come_back_when_not_ready);
+        problem = make_refusal("not_ready", "no configuration is in force yet",
+                               retry_delay_when_not_ready);
         return false;
     }
     document_ = core_.configuration->document();
@@ -92,7 +92,7 @@
     } else {
         buffer_ = std::make_unique<answer_buffer>(accepted_);
     }
-    ending end;
+    request_result end;
     std::exception_ptr error;
     try {
         end = co_await serve();
@@ -109,8 +109,8 @@
     record(end);
 }
 
-asio::awaitable<completion_handler::ending> completion_handler::serve() {
-    ending end;
+asio::awaitable<completion_handler::request_result> completion_handler::serve() {
+    request_result end;
     if (!request_.key.empty()) {
         const bool first = co_await claim_or_attach(end);
         if (!first) {
@@ -127,9 +127,10 @@
     co_return end;
 }
 
-/// Asks the key's home. True when this request is the one to run; false when it was attached to a
-/// running stream, with `end` set.
-asio::awaitable<bool> completion_handler::claim_or_attach(ending& end) {
+/// Claims the idempotency key at its home instance. Returns true when this request has to run the
+/// generation. Returns false with `end` set when it was attached to the stream of an earlier
+/// request with the same key, or when that request did not start in time.
+asio::awaitable<bool> completion_handler::claim_or_attach(request_result& end) {
     while (true) {
         const home_answer home =
             co_await core_.on_control([this]() -> asio::awaitable<home_answer> {
@@ -142,7 +143,8 @@
             if (co_await attach(home.handle, end)) {
                 co_return false;
             }
-            // The stream it ran on is gone and nothing of it has reached this caller: start anew.
+            // The stream of the earlier request is lost and this caller has received none of it, so
+            // a new generation can be started.
             co_await core_.on_control([this]() -> asio::awaitable<void> {
                 core_.homes->take_over(workspace_.text(), request_.key, claimant_);
                 co_return;
@@ -153,14 +155,15 @@
             end.result = outcome::unknown;
             end.code = "still_waiting";
             end.message = "another request with this key is still waiting for its place";
-            end.retry_after = come_back_after_loss;
+            end.retry_after = retry_delay_after_loss;
             co_return false;
         }
-        co_await pause_for(attach_poll);
+        co_await pause_for(attach_poll_period);
     }
 }
 
-asio::awaitable<bool> completion_handler::attach(const std::string& handle_text, ending& end) {
+asio::awaitable<bool> completion_handler::attach(const std::string& handle_text,
+                                                 request_result& end) {
     handle_failure why;
     const auto handle = make_signer(*document_).reissue(handle_text, workspace_, wall_now(), why);
     if (!handle) {
@@ -169,8 +172,8 @@
     const resume_handle& content = handle->content();
     token_stream out(sink(), *handle);
     relay_progress progress;
-    relay carrier(exchange_.executor(), content.backend, {});
-    const relay_result result = co_await carrier.resume(content.generation, 0, out, progress);
+    relay engine_relay(exchange_.executor(), content.backend, {});
+    const relay_result result = co_await engine_relay.resume(content.generation, 0, out, progress);
     tokens_ = result.tokens;
     resumed_ += result.resumed;
     if (result.end == relay_end::lost && result.tokens == 0) {
@@ -184,12 +187,12 @@
         end.result = outcome::incomplete;
         end.code = "engine_lost";
         end.message = result.why;
-        end.retry_after = come_back_after_loss;
+        end.retry_after = retry_delay_after_loss;
     }
     co_return true;
 }
 
-scheduling_request completion_handler::make_place_request(std::uint64_t id) const {
+scheduling_request completion_handler::make_scheduling_request(std::uint64_t id) const {
     scheduling_request request;
     request.id = id;
     request.workspace = workspace_.text();
@@ -211,12 +214,12 @@
     return *digest_;
 }
 
-bool completion_handler::is_held() {
+bool completion_handler::is_quarantined() {
     return core_.quarantine->any() && core_.quarantine->holds(digest());
 }
 
-asio::awaitable<void> completion_handler::end_held(ending& end) {
-    end.result = ran_ ? outcome::incomplete : outcome::not_run;
+asio::awaitable<void> completion_handler::end_quarantined(request_result& end) {
+    end.result = may_have_run_ ? outcome::incomplete : outcome::not_run;
     end.code = "ends_servers";
     end.message = "several engines ended while they ran this request";
     end.retry_after = co_await core_.on_control([this]() -> asio::awaitable<milliseconds> {
@@ -224,13 +227,15 @@
     });
 }
 
-asio::awaitable<void> completion_handler::note_end(const scheduling_decision& place,
-                                                   std::uint64_t place_id, wall_time start_stamp,
-                                                   const relay_result& result) {
+asio::awaitable<void> completion_handler::record_attempt_end(const scheduling_decision& place,
+                                                             std::uint64_t place_id,
+                                                             wall_time start_stamp,
+                                                             const relay_result& result) {
     const bool completed = result.end == relay_end::completed;
-    const auto learned = completed && result.finish_reason != "length" ? generation_end::finished
-                                                                       : generation_end::cut_off;
-    core_.scheduling->stream_ended(place_id, learned);
+    const auto reported_end = completed && result.finish_reason != "length"
+                                  ? generation_end::finished
+                                  : generation_end::cut_off;
+    core_.scheduling->stream_ended(place_id, reported_end);
     if (completed && core_.quarantine->wants_answer(exchange_.request().body.size())) {
         core_.quarantine->note_answer(digest());
     }
@@ -243,34 +248,34 @@
     }
 }
 
-asio::awaitable<completion_handler::ending> completion_handler::run_attempts() {
-    ending end;
+asio::awaitable<completion_handler::request_result> completion_handler::run_attempts() {
+    request_result end;
     const std::string& unique = request_.key.empty() ? claimant_ : request_.key;
-    for (int attempt = 0; attempt < most_attempts; ++attempt) {
+    for (int attempt = 0; attempt < max_attempts; ++attempt) {
         const std::uint64_t place_id =
             stable_hash({workspace_.text(), unique, std::to_string(attempt)});
-        const scheduling_request wanted = make_place_request(place_id);
+        const scheduling_request wanted = make_scheduling_request(place_id);
         bool held = false;
         const scheduling_decision place =
             co_await core_.on_control([&]() -> asio::awaitable<scheduling_decision> {
-                held = is_held();
+                held = is_quarantined();
                 if (held) {
                     co_return scheduling_decision{};
                 }
                 co_return co_await core_.scheduling->acquire(pool_, wanted);
             });
         if (held) {
-            co_await end_held(end);
+            co_await end_quarantined(end);
             co_return end;
         }
         if (!place.granted) {
-            end.result = ran_ ? outcome::incomplete : outcome::not_run;
+            end.result = may_have_run_ ? outcome::incomplete : outcome::not_run;
             end.code = to_string(place.reason);
             end.message = "the request was given up on before it started";
             end.retry_after = place.retry_after;
             co_return end;
         }
-        const relay_result result = co_await run_on(place, place_id);
+        const relay_result result = co_await run_attempt(place, place_id);
         resumed_ += result.resumed;
         dropped_ += result.dropped;
         if (result.end == relay_end::completed) {
@@ -279,21 +284,23 @@
             co_return end;
         }
         avoid_.push_back(place.backend.text());
-        if (!co_await may_try_again(result, end)) {
+        if (!co_await may_retry(result, end)) {
             co_return end;
         }
     }
-    end.result = ran_ ? outcome::incomplete : outcome::not_run;
+    end.result = may_have_run_ ? outcome::incomplete : outcome::not_run;
     end.code = "attempts_exhausted";
     end.message = "no backend server of the pool could run the request";
-    end.retry_after = come_back_when_not_ready;
+    end.retry_after = retry_delay_when_not_ready;
     co_return end;
 }
 
-/// Decides what a failed attempt means. True when another may be made; otherwise `end` is set.
-asio::awaitable<bool> completion_handler::may_try_again(const relay_result& result, ending& end) {
+/// Handles a failed attempt. Returns true when another attempt may be made; otherwise `end` holds
+/// the result of the request.
+asio::awaitable<bool> completion_handler::may_retry(const relay_result& result,
+                                                    request_result& end) {
     end.result = outcome::incomplete;
-    end.retry_after = come_back_after_loss;
+    end.retry_after = retry_delay_after_loss;
     end.message = result.why;
     if (result.end == relay_end::caller_gone || result.end == relay_end::cancelled) {
         end.code = result.end == relay_end::cancelled ? "cancelled" : "caller_gone";
@@ -302,7 +309,7 @@
     if (result.end == relay_end::not_run) {
         co_return true;
     }
-    ran_ = true;
+    may_have_run_ = true;
     end.code = "engine_lost";
     const bool started = result.tokens > 0;
     if (started && streaming() && request_.loss == on_loss::incomplete) {
@@ -324,20 +331,20 @@
     co_return true;
 }
 
-asio::awaitable<relay_result> completion_handler::run_on(const scheduling_decision& place,
-                                                         std::uint64_t place_id) {
-    generation_request order;
-    order.generation = generation_id(random_id());
-    order.request_key = request_.key;
-    order.model = request_.model;
-    order.prompt = request_.prompt;
-    order.kind = request_.kind;
-    order.prompt_tokens = request_.prompt_tokens;
-    order.max_tokens = request_.max_tokens;
-    order.priority = request_.priority;
-    const auto handle =
-        make_signer(*document_)
-            .issue({place.backend, order.generation, workspace_, wall_now() + handle_lifetime_ms});
+asio::awaitable<relay_result> completion_handler::run_attempt(const scheduling_decision& place,
+                                                              std::uint64_t place_id) {
+    generation_request engine_request;
+    engine_request.generation = generation_id(random_id());
+    engine_request.request_key = request_.key;
+    engine_request.model = request_.model;
+    engine_request.prompt = request_.prompt;
+    engine_request.kind = request_.kind;
+    engine_request.prompt_tokens = request_.prompt_tokens;
+    engine_request.max_tokens = request_.max_tokens;
+    engine_request.priority = request_.priority;
+    const auto handle = make_signer(*document_)
+                            .issue({place.backend, engine_request.generation, workspace_,
+                                    wall_now() + handle_lifetime_ms});
     relay_result result;
     if (!handle) {
         result.end = relay_end::not_run;
@@ -354,7 +361,7 @@
     wall_time start_stamp = 0;
     co_await core_.on_control([&]() -> asio::awaitable<void> {
         core_.scheduling->stream_started(streamed);
-        held = is_held();
+        held = is_quarantined();
         if (held) {
             core_.scheduling->stream_ended(place_id, generation_end::cut_off);
             co_return;
@@ -371,35 +378,37 @@
         co_return result;
     }
     token_stream out(sink(), *handle);
-    relay carrier(exchange_.executor(), place.backend, {});
-    result = co_await carrier.start(order, out, *progress);
+    relay engine_relay(exchange_.executor(), place.backend, {});
+    result = co_await engine_relay.start(engine_request, out, *progress);
     if (result.tokens > 0) {
-        generation_ = order.generation.text();
+        generation_ = engine_request.generation.text();
         tokens_ = result.tokens;
     }
-    co_await core_.on_control([&] { return note_end(place, place_id, start_stamp, result); });
+    co_await core_.on_control(
+        [&] { return record_attempt_end(place, place_id, start_stamp, result); });
     if (result.end == relay_end::lost) {
-        // The loser of a repeated attempt must not go on filling an engine.
+        // The generation may still be running although its connection was lost. Cancel it, so that
+        // it does not occupy the engine while a retry runs elsewhere.
         asio::co_spawn(
             core_.control,
             [client = engine_client(core_.control.get_executor(), place.backend),
-             id = order.generation]() mutable -> asio::awaitable<void> {
+             id = engine_request.generation]() mutable -> asio::awaitable<void> {
                 co_await client.cancel(id, milliseconds(1'000));
             },
             asio::detached);
     } else if (result.end == relay_end::caller_gone) {
-        leave_to_caller(*handle);
+        schedule_cancel_when_abandoned(*handle);
     }
     co_return result;
 }
 
-void completion_handler::leave_to_caller(const issued_handle& handle) {
+void completion_handler::schedule_cancel_when_abandoned(const issued_handle& handle) {
     cancel_when_abandoned(core_, handle, claimant_);
 }
 
-asio::awaitable<void> completion_handler::answer(const ending& end) {
+asio::awaitable<void> completion_handler::answer(const request_result& end) {
     if (!streaming()) {
-        co_await answer_whole(end);
+        co_await answer_non_streaming(end);
         co_return;
     }
     if (!writer_->head_sent() && end.result == outcome::not_run) {
@@ -413,7 +422,7 @@
                              end.message);
 }
 
-asio::awaitable<void> completion_handler::answer_whole(const ending& end) {
+asio::awaitable<void> completion_handler::answer_non_streaming(const request_result& end) {
     if (end.result != outcome::completed) {
         error_answer refusal = make_refusal(end.code, end.message, end.retry_after);
         refusal.outcome = to_string(end.result);
@@ -437,7 +446,7 @@
     co_await exchange_.respond_json(200, std::move(text));
 }
 
-void completion_handler::record(const ending& end) const {
+void completion_handler::record(const request_result& end) const {
     const stream_timing& flow = timing();
     request_sample sample;
     sample.workspace = workspace_.text();
--- a/bamboostream/src/Entry/completion_request.cpp
+++ b/bamboostream/src/Entry/completion_request.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::int64_t most_tokens = 1'000'000;
-constexpr std::int64_t longest_deadline_ms = 3'600'000;
-constexpr std::size_t characters_a_token = 4;
+constexpr std::int64_t token_limit = 1'000'000;
+constexpr std::int64_t max_deadline_ms = 3'600'000;
+constexpr std::size_t characters_per_token = 4;
 constexpr std::size_t prefix_characters = 512;
-constexpr std::size_t longest_kind = 64;
+constexpr std::size_t max_kind_length = 64;
 
 priority_level read_priority(json_reader& r) {
     const boost::json::value* value = r.child("priority");
@@ -51,22 +51,22 @@
     json_reader r(*body, "", mistakes);
     out.model = r.text("model");
     out.prompt = r.text("prompt");
-    out.max_tokens = static_cast<std::uint32_t>(r.number_or("max_tokens", 0, 0, most_tokens));
-    const auto estimate =
-        static_cast<std::int64_t>(std::max<std::size_t>(out.prompt.size() / characters_a_token, 1));
+    out.max_tokens = static_cast<std::uint32_t>(r.number_or("max_tokens", 0, 0, token_limit));
+    const auto estimate = static_cast<std::int64_t>(
+        std::max<std::size_t>(out.prompt.size() / characters_per_token, 1));
     out.prompt_tokens =
-        static_cast<std::uint32_t>(r.number_or("prompt_tokens", estimate, 1, most_tokens));
+        static_cast<std::uint32_t>(r.number_or("prompt_tokens", estimate, 1, token_limit));
     out.stream = r.flag_or("stream", false);
     out.priority = read_priority(r);
     out.loss = read_on_loss(r);
     out.kind = r.text_or("kind", "");
-    if (out.kind.size() > longest_kind) {
+    if (out.kind.size() > max_kind_length) {
         r.mistake("kind", std::to_string(out.kind.size()) + " characters", "at most 64");
     }
-    out.deadline = milliseconds(r.number_or("deadline_ms", 0, 0, longest_deadline_ms));
+    out.deadline = milliseconds(r.number_or("deadline_ms", 0, 0, max_deadline_ms));
     r.finish();
     out.key = std::string(request.field("Idempotency-Key"));
-    if (!out.key.empty() && !is_usable_key(out.key)) {
+    if (!out.key.empty() && !is_valid_idempotency_key(out.key)) {
         r.mistake("Idempotency-Key", "an unusable key", "at most 200 printable characters");
     }
     out.prefix = stable_hash(std::string_view(out.prompt).substr(0, prefix_characters));
--- a/bamboostream/src/Entry/completion_request.h
+++ b/bamboostream/src/Entry/completion_request.h
@@ -12,10 +12,11 @@
 
 namespace bamboostream {
 
-/// What a stream's caller wants when its engine is lost after the first token.
+/// What to do when a stream's engine is lost after the first token: end the stream as incomplete,
+/// or start a new generation that replaces the tokens sent so far.
 enum class on_loss : std::uint8_t { incomplete, restart };
 
-/// A caller's request for a completion, read and checked.
+/// A parsed and validated completion request.
 struct completion_request {
     std::string model;
     std::string prompt;
@@ -25,15 +26,16 @@
     bool stream = false;
     priority_level priority = priority_level::standard;
     on_loss loss = on_loss::incomplete;
-    /// How long the caller waits for the start, and for the whole answer when not streaming.
+    /// How long the caller waits for the generation to start; zero for the default of the pool.
     milliseconds deadline{0};
     /// Idempotency key; empty when the caller gave none.
     std::string key;
-    /// Hash of the prompt's beginning.
+    /// Hash of the first 512 bytes of the prompt.
     std::uint64_t prefix = 0;
 };
 
-/// Reads a request; nothing with every mistake when it is malformed.
+/// Parses and validates a request. Returns nullopt when it is malformed and appends every error
+/// found to `mistakes`.
 std::optional<completion_request> read_completion(const http_request& request,
                                                   std::vector<json_mistake>& mistakes);
 
--- a/bamboostream/src/Entry/console_page.cpp
+++ b/bamboostream/src/Entry/console_page.cpp
@@ -4,8 +4,9 @@
 
 namespace {
 
-// The page works on the document as the instance gave it and on the version it was based on. Every
-// input is an ordinary labelled form control, so the keyboard reaches all of it.
+// The page edits a copy of the document that the instance returned and submits the changes against
+// the version of that document. Every input is a standard labelled form control, so that the whole
+// page can be used with the keyboard.
 constexpr std::string_view page = R"html(<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>bamboostream console</title>
 <style>
--- a/bamboostream/src/Entry/console_page.h
+++ b/bamboostream/src/Entry/console_page.h
@@ -4,8 +4,8 @@
 
 namespace bamboostream {
 
-/// The operators' console: one page of forms whose only output is a validated configuration
-/// document.
+/// Returns the HTML of the operator console, a single page of forms for editing the configuration.
+/// Its only output is a configuration document that the instance has validated.
 std::string_view console_page();
 
 } // namespace bamboostream
--- a/bamboostream/src/Entry/error_answer.h
+++ b/bamboostream/src/Entry/error_answer.h
@@ -12,28 +12,30 @@
 
 namespace bamboostream {
 
-/// The one shape of every error answer; docs/CONTRACTS.md lists the codes.
+/// An error response. All error responses have this format; docs/CONTRACTS.md lists the codes.
 struct error_answer {
     int status = 400;
     std::string_view code;
     std::string message;
-    /// "not_run", "unknown" or empty when nothing could have run.
+    /// Whether the request was executed: an outcome name such as "not_run" or "unknown"; empty when
+    /// the request was rejected in a way that rules out any execution.
     std::string_view outcome;
-    /// When to come back; zero when coming back is of no use.
+    /// Delay after which the caller may retry; zero when a retry cannot succeed.
     milliseconds retry_after{0};
     std::vector<json_mistake> mistakes;
 };
 
-/// An error of which nothing but code and message is to be said.
+/// Returns an error without outcome and retry delay.
 error_answer make_error(int status, std::string_view code, std::string message);
 
-/// A refusal before anything ran, with the time to come back.
+/// Returns a 503 error for a request that was refused before anything ran (outcome "not_run").
 error_answer make_refusal(std::string_view code, std::string message, milliseconds retry_after);
 
-/// The answer as JSON text.
+/// Serializes the error as a JSON response body.
 std::string to_json(const error_answer& error);
 
-/// Sends it, with `Retry-After` when there is a time to come back.
+/// Logs the error and sends it as the response, with a `Retry-After` field (in whole seconds,
+/// rounded up) when `retry_after` is set.
 boost::asio::awaitable<bool> respond_error(http_exchange& exchange, const error_answer& error);
 
 } // namespace bamboostream
--- a/bamboostream/src/Entry/instance.cpp
+++ b/bamboostream/src/Entry/instance.cpp
@@ -25,13 +25,14 @@
 
 namespace {
 
-/// Beyond the validity of directory answers, so that one given at the last moment still serves.
-constexpr milliseconds lapse_margin{1'000};
+/// Added to the validity of directory responses, so that one sent just before the shutdown began
+/// can still be used.
+constexpr milliseconds directory_validity_margin{1'000};
 constexpr milliseconds drain_poll_period{50};
-/// For the last records of the ledger and the last progress reports.
-constexpr milliseconds last_words{600};
-constexpr milliseconds self_update{200};
-constexpr double busy_open_requests = 500.0;
+/// Time for the last ledger records and progress reports to be sent before the process exits.
+constexpr milliseconds final_flush_time{600};
+constexpr milliseconds self_update_period{200};
+constexpr double open_requests_at_full_load = 500.0;
 
 using work_guard = asio::executor_work_guard<asio::io_context::executor_type>;
 
@@ -134,12 +135,13 @@
     if (!callers) {
         return fail(core.settings.caller_listen);
     }
-    const auto operated = operators_server->listen(core.settings.operator_listen, why);
-    if (!operated) {
+    const auto bound_operator_address =
+        operators_server->listen(core.settings.operator_listen, why);
+    if (!bound_operator_address) {
         return fail(core.settings.operator_listen);
     }
     caller = *callers;
-    operator_address = *operated;
+    operator_address = *bound_operator_address;
     peer = *peers;
     return true;
 }
@@ -213,11 +215,11 @@
     return true;
 }
 
-/// Keeps what other instances learn of this one up to date.
+/// Periodically updates the load and configuration version that this instance reports to others.
 asio::awaitable<void> instance::parts::update_self() {
     bool was_ready = false;
     while (true) {
-        const double busy = core.open_requests.load() / busy_open_requests;
+        const double busy = core.open_requests.load() / open_requests_at_full_load;
         core.membership->members().update_self(
             static_cast<std::uint16_t>(std::min(busy, 1.0) * 1000.0),
             core.configuration->version());
@@ -225,7 +227,7 @@
             was_ready = true;
             log_event(events::ready, "configuration_version={}", core.configuration->version());
         }
-        co_await pause_for(self_update);
+        co_await pause_for(self_update_period);
     }
 }
 
@@ -235,19 +237,20 @@
     }
 }
 
-/// Leaves the directory at once, goes on accepting until every directory answer given has lapsed,
-/// then refuses new work and waits for what is open.
+/// Shuts down gracefully. Leaves the directory at once, accepts requests until all directory
+/// responses that list this instance have expired, then refuses new ones and waits for the open
+/// ones for at most `instance_settings::drain_limit`.
 asio::awaitable<void> instance::parts::drain() {
     log_event(events::stopping, "open_requests={}", core.open_requests.load());
     core.leaving = true;
     core.membership->members().begin_leaving();
-    co_await pause_for(directory_validity + lapse_margin);
-    core.closed = true;
+    co_await pause_for(directory_validity + directory_validity_margin);
+    core.refusing_new_work = true;
     const time_point until = monotonic_now() + core.settings.drain_limit;
     while (core.open_requests.load() > 0 && monotonic_now() < until) {
         co_await pause_for(drain_poll_period);
     }
-    co_await pause_for(last_words);
+    co_await pause_for(final_flush_time);
     log_event(events::stopped, "open_requests={}", core.open_requests.load());
     for (const auto& context : traffic) {
         context->stop();
--- a/bamboostream/src/Entry/instance.h
+++ b/bamboostream/src/Entry/instance.h
@@ -7,8 +7,8 @@
 
 namespace bamboostream {
 
-/// One instance: every role of the system in one process. `run` serves until a graceful shutdown
-/// has ended.
+/// One instance of the system; a single process has all roles. Traffic is served on
+/// `instance_settings::threads` threads; the services that they share run on one control thread.
 ///
 /// Example: `instance i(settings); return i.run();`
 class instance {
@@ -18,7 +18,8 @@
     instance(const instance&) = delete;
     instance& operator=(const instance&) = delete;
 
-    /// The exit code of the program.
+    /// Serves until a graceful shutdown, started by SIGTERM, SIGINT or `POST /v1/drain`, is
+    /// complete. Returns the exit code of the program.
     int run();
 
 private:
--- a/bamboostream/src/Entry/instance_core.h
+++ b/bamboostream/src/Entry/instance_core.h
@@ -22,7 +22,7 @@
 
 namespace bamboostream {
 
-/// What an instance is told at its start.
+/// Start-up settings of an instance.
 struct instance_settings {
     std::string caller_listen = "127.0.0.1:0";
     std::string operator_listen = "127.0.0.1:0";
@@ -33,22 +33,22 @@
     std::string announce_file;
     std::int64_t threads = 2;
     milliseconds log_timeout{1'000};
-    /// How long open streams may go on after a graceful shutdown began.
+    /// How long a graceful shutdown waits for open requests once new work is refused.
     milliseconds drain_limit{600'000};
-    /// How long a generation goes on without its caller before it is cancelled.
+    /// How long a generation continues after its caller has disconnected before it is cancelled.
     milliseconds away_limit{10'000};
     milliseconds ledger_window{600'000};
     milliseconds snapshot_period{60'000};
     std::int64_t body_limit = 1'048'576;
 };
 
-/// The parts of one instance that its handlers share. The services live on the control thread;
-/// handlers reach them through `on_control`.
+/// State of an instance that its request handlers share. The services belong to the control thread;
+/// handlers, which run on traffic threads, access them through `on_control`.
 struct instance_core {
     explicit instance_core(instance_settings s);
 
-    /// Runs `operation` (a function that returns an awaitable) on the control thread and resumes
-    /// the caller on its own.
+    /// Runs `operation`, a function that returns an awaitable, on the control thread and resumes
+    /// the calling coroutine on its own executor.
     template <class Operation> auto on_control(Operation operation) {
         return boost::asio::co_spawn(control, std::move(operation), boost::asio::use_awaitable);
     }
@@ -64,19 +64,21 @@
     std::unique_ptr<claim_keeper> claims;
     std::unique_ptr<placement_service> placement;
     std::unique_ptr<quarantine_service> quarantine;
-    /// Choice of plain service replicas; control thread only.
+    /// Load balancing among replicas of plain services. Control thread only.
     service_picker services{1};
-    /// Retries of all requests of this instance; control thread only.
+    /// Limits the retries of all requests of this instance together. Control thread only.
     retry_budget retries;
     request_metrics metrics;
     wall_time start_stamp = 0;
+    /// Set when a graceful shutdown begins; the instance is no longer listed in the directory.
     std::atomic<bool> leaving{false};
-    /// Set once old directory answers have lapsed: new work is refused.
-    std::atomic<bool> closed{false};
+    /// Set during a graceful shutdown once all directory responses that list this instance have
+    /// expired. New requests are refused from then on.
+    std::atomic<bool> refusing_new_work{false};
     std::atomic<int> open_requests{0};
 };
 
-/// The signer for the keys of a configuration.
+/// Returns a signer for resume handles that uses the resume keys of `document`.
 handle_signer make_signer(const configuration_document& document);
 
 } // namespace bamboostream
--- a/bamboostream/src/Entry/operator_handler.cpp
+++ b/bamboostream/src/Entry/operator_handler.cpp
@@ -45,9 +45,10 @@
                         {"configuration_version", facts.configuration_version}};
 }
 
-constexpr std::string_view hidden = "(hidden)";
+constexpr std::string_view hidden_secret = "(hidden)";
 
-/// Secrets of resume keys stay on the instances: operators see that there is one.
+/// Replaces the secrets of resume keys by a placeholder. Secrets never leave the instances;
+/// operators only see that a key has one.
 void hide_secrets(json::value& document) {
     json::value* keys = document.as_object().if_contains("resume_keys");
     if (keys == nullptr || !keys->is_object()) {
@@ -55,15 +56,16 @@
     }
     for (auto& item : keys->get_object()) {
         if (item.value().is_object()) {
-            item.value().get_object()["secret"] = hidden;
+            item.value().get_object()["secret"] = hidden_secret;
         }
     }
 }
 
-/// An operator who worked on a document with hidden secrets means them as they are.
+/// Replaces the placeholder by the current secret: a document that was edited with hidden secrets
+/// leaves them unchanged.
 void restore_secret(std::string_view name, json::value& key, const configuration_document& known) {
     const auto found = known.resume_keys.find(name);
-    if (text_at(key, "secret") == hidden && found != known.resume_keys.end()) {
+    if (text_at(key, "secret") == hidden_secret && found != known.resume_keys.end()) {
         key.as_object()["secret"] = found->second.secret;
     }
 }
@@ -90,8 +92,8 @@
     }
 }
 
-/// Leaves out the changes that would change nothing.
-void drop_needless(std::vector<configuration_change>& changes, const json::value& document) {
+/// Removes changes whose value equals that in `document`.
+void remove_unchanged(std::vector<configuration_change>& changes, const json::value& document) {
     std::erase_if(changes, [&](const configuration_change& change) {
         const std::size_t slash = change.entry.find('/');
         const json::value& section = document.at(change.entry.substr(0, slash));
@@ -191,8 +193,8 @@
     co_await exchange.respond_json(200, std::move(body));
 }
 
-/// Takes either a list of changes or a whole document; a document is compared with the version in
-/// force, so that only what the operator changed can collide.
+/// Accepts a list of changes. Changes that match the version in force are removed first, so that
+/// only entries that the operator has really changed can conflict.
 asio::awaitable<void> operator_handler::submit_configuration(http_exchange& exchange) {
     error_answer problem;
     problem.code = "invalid_submission";
@@ -215,7 +217,7 @@
     restore_secrets(submission->changes, *core_.configuration->document());
     const submission_verdict verdict =
         co_await core_.on_control([&]() -> asio::awaitable<submission_verdict> {
-            drop_needless(submission->changes, core_.configuration->state().document_json());
+            remove_unchanged(submission->changes, core_.configuration->state().document_json());
             if (submission->changes.empty()) {
                 submission_verdict nothing;
                 nothing.fate = submission_fate::repeated;
@@ -321,8 +323,8 @@
     for (const auto& row : core_.metrics.burn_rows()) {
         json::array buckets;
         for (const auto& b : row.buckets) {
-            buckets.push_back(json::array{b.minute, b.requests, b.late_first_token, b.uneven,
-                                          b.stalled, b.not_completed});
+            buckets.push_back(json::array{b.minute, b.requests, b.late_first_token,
+                                          b.slow_inter_token, b.stalled, b.not_completed});
         }
         rows.push_back(json::object{
             {"workspace", row.workspace}, {"pool", row.pool}, {"buckets", std::move(buckets)}});
--- a/bamboostream/src/Entry/operator_handler.h
+++ b/bamboostream/src/Entry/operator_handler.h
@@ -9,13 +9,18 @@
 
 namespace bamboostream {
 
-/// Answers the operators' port: configuration, status, drain, report data, console, and the
-/// endpoints that every port has.
+/// Handles requests to the operator port: configuration, status, drain, report data, the console,
+/// and the endpoints that all ports have in common.
+///
+/// `handle` and `handle_common` run on traffic threads; state of the services is read on the
+/// control thread.
 class operator_handler {
 public:
+    /// `drain` starts a graceful shutdown; it may be called repeatedly and from any thread.
     operator_handler(instance_core& core, std::function<void()> drain);
     boost::asio::awaitable<void> handle(http_exchange& exchange);
-    /// `/healthz`, `/readyz` and `/metrics`; false when the path is none of them.
+    /// Handles `/healthz`, `/readyz` and `/metrics`. Returns false, without a response, for any
+    /// other path.
     boost::asio::awaitable<bool> handle_common(http_exchange& exchange);
 
 private:
@@ -25,6 +30,7 @@
     boost::asio::awaitable<void> show_history(http_exchange& exchange);
     boost::asio::awaitable<void> show_status(http_exchange& exchange);
     boost::asio::awaitable<void> show_burn(http_exchange& exchange);
+    /// Metrics of the state that belongs to the control thread, in the Prometheus text format.
     boost::asio::awaitable<std::string> control_metrics();
 
     instance_core& core_;
--- a/bamboostream/src/Entry/resume_handler.cpp
+++ b/bamboostream/src/Entry/resume_handler.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr milliseconds come_back_after_loss{100};
+constexpr milliseconds retry_delay_after_loss{100};
 
 int status_of(handle_error code) {
     switch (code) {
@@ -24,8 +24,8 @@
     return 400;
 }
 
-/// Registers this request as the stream's holder, so that whoever streamed it before does not
-/// cancel it as abandoned.
+/// Registers this request as the owner of the stream, so that the request that relayed it before
+/// does not cancel it as abandoned.
 asio::awaitable<void> take_over(instance_core& core, const resume_handle& content,
                                 std::string claimant) {
     co_await core.on_control([&]() -> asio::awaitable<void> {
@@ -35,12 +35,12 @@
     });
 }
 
-asio::awaitable<relay_result> carry(http_exchange& exchange, sse_writer& writer,
-                                    const issued_handle& handle, std::uint64_t from) {
+asio::awaitable<relay_result> relay_to_caller(http_exchange& exchange, sse_writer& writer,
+                                              const issued_handle& handle, std::uint64_t from) {
     token_stream out(writer, handle);
     relay_progress progress;
-    relay carrier(exchange.executor(), handle.content().backend, {});
-    co_return co_await carrier.resume(handle.content().generation, from, out, progress);
+    relay engine_relay(exchange.executor(), handle.content().backend, {});
+    co_return co_await engine_relay.resume(handle.content().generation, from, out, progress);
 }
 
 } // namespace
@@ -70,17 +70,17 @@
     sse_writer writer(exchange, monotonic_now());
     writer.start_heartbeats();
     const relay_result result =
-        co_await carry(exchange, writer, *handle, static_cast<std::uint64_t>(from));
+        co_await relay_to_caller(exchange, writer, *handle, static_cast<std::uint64_t>(from));
     co_await writer.stop_heartbeats();
     if (result.end == relay_end::caller_gone) {
         cancel_when_abandoned(core, *handle, claimant);
         co_return;
     }
-    const bool whole = result.end == relay_end::completed;
+    const bool is_completed = result.end == relay_end::completed;
     co_await writer.finish(handle->content().generation.text(),
-                           whole ? outcome::completed : outcome::incomplete, result.tokens,
-                           result.finish_reason, whole ? milliseconds(0) : come_back_after_loss,
-                           result.why);
+                           is_completed ? outcome::completed : outcome::incomplete, result.tokens,
+                           result.finish_reason,
+                           is_completed ? milliseconds(0) : retry_delay_after_loss, result.why);
 }
 
 } // namespace bamboostream
--- a/bamboostream/src/Entry/service_handler.cpp
+++ b/bamboostream/src/Entry/service_handler.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr int most_tries = 4;
-constexpr milliseconds come_back{500};
+constexpr int max_tries = 4;
+constexpr milliseconds refusal_retry_delay{500};
 constexpr milliseconds retry_pause{50};
-/// Kept back from the deadline, so that the answer still reaches its caller in time.
+/// Subtracted from the deadline, so that the response still reaches the caller in time.
 constexpr milliseconds answer_reserve{100};
 
 } // namespace
@@ -25,11 +25,11 @@
 }
 
 bool service_handler::check(error_answer& problem) {
-    if (core_.closed || core_.configuration->version() == 0) {
-        problem = make_error(503, core_.closed ? "leaving" : "not_ready",
+    if (core_.refusing_new_work || core_.configuration->version() == 0) {
+        problem = make_error(503, core_.refusing_new_work ? "leaving" : "not_ready",
                              "this instance takes no calls now; ask for other addresses");
         problem.outcome = "not_run";
-        problem.retry_after = come_back;
+        problem.retry_after = refusal_retry_delay;
         return false;
     }
     document_ = core_.configuration->document();
@@ -58,7 +58,7 @@
                              "this operation needs an Idempotency-Key that is a UUID of version 7");
         return false;
     }
-    if (!call_.key.empty() && !is_usable_key(call_.key)) {
+    if (!call_.key.empty() && !is_valid_idempotency_key(call_.key)) {
         problem = make_error(400, "invalid_request", "the Idempotency-Key is not usable");
         return false;
     }
@@ -66,7 +66,7 @@
     return true;
 }
 
-milliseconds service_handler::left() const {
+milliseconds service_handler::remaining_time() const {
     return std::chrono::duration_cast<milliseconds>(deadline_ - monotonic_now());
 }
 
@@ -92,12 +92,12 @@
                                               std::string message) {
     error_answer answer = make_error(outcome == "not_run" ? 503 : 502, code, std::move(message));
     answer.outcome = outcome;
-    answer.retry_after = come_back;
+    answer.retry_after = refusal_retry_delay;
     co_await respond_error(exchange_, answer);
 }
 
-asio::awaitable<void> service_handler::refuse_held(std::string_view outcome,
-                                                   milliseconds held_for) {
+asio::awaitable<void> service_handler::refuse_quarantined(std::string_view outcome,
+                                                          milliseconds held_for) {
     error_answer answer = make_error(outcome == "not_run" ? 503 : 502, "ends_servers",
                                      "several servers ended while they ran this call");
     answer.outcome = outcome;
@@ -118,8 +118,9 @@
     return held ? std::optional(quarantine.held_for(digest())) : std::nullopt;
 }
 
-asio::awaitable<void> service_handler::note_end(const backend_id& backend, wall_time start_stamp,
-                                                const attempt& ended) {
+asio::awaitable<void> service_handler::record_attempt_end(const backend_id& backend,
+                                                          wall_time start_stamp,
+                                                          const attempt& ended) {
     const auto replicas = core_.membership->backends().group(call_.service);
     core_.services.call_ended(backend, ended.answer.has_value(), replicas.size(), monotonic_now());
     if (ended.answer) {
@@ -170,13 +171,13 @@
         out.why.set(service_error::not_run, "no replica of the service is in use");
         co_return out;
     }
-    const milliseconds timeout = std::max(left(), milliseconds(1));
+    const milliseconds timeout = std::max(remaining_time(), milliseconds(1));
     out.answer = co_await call_service(exchange_.executor(), *backend, call_, timeout, out.why);
-    co_await core_.on_control([&] { return note_end(*backend, start_stamp, out); });
+    co_await core_.on_control([&] { return record_attempt_end(*backend, start_stamp, out); });
     co_return out;
 }
 
-asio::awaitable<service_handler::attempt> service_handler::try_again(const retry_permit&) {
+asio::awaitable<service_handler::attempt> service_handler::retry_replica(const retry_permit&) {
     co_await pause_for(retry_pause);
     co_return co_await try_replica();
 }
@@ -186,20 +187,21 @@
     attempt last = co_await try_replica();
     bool uncertain = last.why.code == service_error::uncertain;
     for (int tries = 1;
-         tries < most_tries && !last.answer && !last.held_for && left() > retry_pause; ++tries) {
+         tries < max_tries && !last.answer && !last.held_for && remaining_time() > retry_pause;
+         ++tries) {
         const bool allowed = co_await core_.on_control(
             [this]() -> asio::awaitable<bool> { co_return core_.retries.try_spend(); });
         if (!allowed) {
             break;
         }
-        last = co_await try_again(permit);
+        last = co_await retry_replica(permit);
         uncertain = uncertain || last.why.code == service_error::uncertain;
     }
     const std::string_view outcome = uncertain ? "unknown" : "not_run";
     if (last.answer) {
         co_await answer_with(last.answer->status, std::move(last.answer->body));
     } else if (last.held_for) {
-        co_await refuse_held(outcome, *last.held_for);
+        co_await refuse_quarantined(outcome, *last.held_for);
     } else {
         co_await refuse(outcome, "service_unavailable", last.why.text);
     }
@@ -232,32 +234,34 @@
     }
 }
 
-/// Sends the call that the ledger allowed; whether it is held is asked after the claim, since only
-/// the ledger knows whether an earlier call with its key has run. Another replica is tried only
-/// while it is certain that no byte was sent or that the service itself said it did not run the
-/// call; after anything else the call is never sent again.
-asio::awaitable<void> service_handler::dispatch(const claim_result& won) {
+/// Sends a call that the ledger has permitted and records its result in the ledger.
+///
+/// The quarantine is checked after the claim, because only the ledger knows whether an earlier call
+/// with the same key has run. Another replica is tried only when no byte was sent or the service
+/// itself reported that it did not run the call. After any other failure the call is never sent
+/// again.
+asio::awaitable<void> service_handler::dispatch(const claim_result& granted_claim) {
     attempt last = co_await try_replica();
-    for (int tries = 1; tries < most_tries && !last.answer && !last.no_replica && !last.held_for &&
-                        last.why.code == service_error::not_run && left() > retry_pause;
+    for (int tries = 1; tries < max_tries && !last.answer && !last.no_replica && !last.held_for &&
+                        last.why.code == service_error::not_run && remaining_time() > retry_pause;
          ++tries) {
         last = co_await try_replica();
     }
     co_await core_.on_control([&]() -> asio::awaitable<void> {
         if (last.answer) {
-            core_.claims->decided(call_.workspace, call_.key, won.claim, last.answer->status,
-                                  last.answer->body);
+            core_.claims->decided(call_.workspace, call_.key, granted_claim.claim,
+                                  last.answer->status, last.answer->body);
         } else if (last.why.code == service_error::not_run) {
-            core_.claims->abandon(call_.workspace, call_.key, won.claim);
+            core_.claims->abandon(call_.workspace, call_.key, granted_claim.claim);
         } else {
-            core_.claims->left_unknown(won.claim);
+            core_.claims->left_unknown(granted_claim.claim);
         }
         co_return;
     });
     if (last.answer) {
         co_await answer_with(last.answer->status, std::move(last.answer->body));
     } else if (last.held_for) {
-        co_await refuse_held("not_run", *last.held_for);
+        co_await refuse_quarantined("not_run", *last.held_for);
     } else if (last.why.code == service_error::not_run) {
         co_await refuse("not_run", "service_unavailable", last.why.text);
     } else {
--- a/bamboostream/src/Entry/service_handler.h
+++ b/bamboostream/src/Entry/service_handler.h
@@ -12,8 +12,12 @@
 
 namespace bamboostream {
 
-/// Serves one `POST /v1/services/{service}/{operation}`: idempotent operations are retried within
-/// the deadline and the retry budget; the others run at most once, by the ledger's word.
+/// Serves one `POST /v1/services/{service}/{operation}` request. Idempotent operations are retried
+/// within the deadline and the retry budget. Other operations run at most once: each is claimed in
+/// the ledger by its idempotency key before it is sent.
+///
+/// A handler runs on the traffic thread of its connection. Functions marked "control thread" must
+/// be called through `instance_core::on_control`.
 class service_handler {
 public:
     service_handler(instance_core& core, http_exchange& exchange, std::string service,
@@ -21,40 +25,45 @@
     boost::asio::awaitable<void> run();
 
 private:
-    /// One try on one replica.
+    /// The result of one attempt on one replica.
     struct attempt {
         std::optional<service_answer> answer;
         service_failure why;
         bool no_replica = false;
-        /// The call wasn't sent because of what it does to servers; for how much longer.
+        /// Set when the call was not sent because it is quarantined: the remaining time.
         std::optional<milliseconds> held_for;
     };
 
+    /// Authenticates and validates the call. False with `problem` set when it is rejected.
     bool check(error_answer& problem);
     boost::asio::awaitable<void> run_idempotent();
+    /// Claims the call in the ledger, and sends it only when the ledger permits.
     boost::asio::awaitable<void> run_once();
-    boost::asio::awaitable<void> dispatch(const claim_result& won);
+    boost::asio::awaitable<void> dispatch(const claim_result& granted_claim);
     boost::asio::awaitable<attempt> try_replica();
-    boost::asio::awaitable<attempt> try_again(const retry_permit& permit);
+    boost::asio::awaitable<attempt> retry_replica(const retry_permit& permit);
     boost::asio::awaitable<void> answer_with(int status, std::string body);
     boost::asio::awaitable<void> refuse(std::string_view outcome, std::string_view code,
                                         std::string message);
-    boost::asio::awaitable<void> refuse_held(std::string_view outcome, milliseconds held_for);
+    boost::asio::awaitable<void> refuse_quarantined(std::string_view outcome,
+                                                    milliseconds held_for);
     const request_digest& digest();
-    /// For how much longer the call is refused because of what it does to servers; nothing when it
-    /// isn't. On the control thread.
+    /// The time for which the call remains quarantined because several servers crashed while
+    /// running it; nullopt when it is not quarantined. Control thread.
     std::optional<milliseconds> held_for();
-    /// Takes the end of a try into account. On the control thread.
-    boost::asio::awaitable<void> note_end(const backend_id& backend, wall_time start_stamp,
-                                          const attempt& ended);
-    milliseconds left() const;
+    /// Reports the end of an attempt to the load balancer, the membership service and the
+    /// quarantine. Control thread.
+    boost::asio::awaitable<void> record_attempt_end(const backend_id& backend,
+                                                    wall_time start_stamp, const attempt& ended);
+    /// Time until the deadline, less the time reserved for sending the response.
+    milliseconds remaining_time() const;
 
     instance_core& core_;
     http_exchange& exchange_;
     service_call call_;
     time_point deadline_{};
     const operation_settings* operation_ = nullptr;
-    /// Computed on first use: while no server has ended, none is needed.
+    /// Computed on first use, since it is not needed as long as no server has crashed.
     std::optional<request_digest> digest_;
     std::shared_ptr<const configuration_document> document_;
 };
--- a/bamboostream/src/Entry/sse_writer.cpp
+++ b/bamboostream/src/Entry/sse_writer.cpp
@@ -14,18 +14,19 @@
 
 namespace {
 
-constexpr milliseconds late_head{800};
+constexpr milliseconds head_delay{800};
 constexpr milliseconds heartbeat_period{500};
-/// Keeps the loop from spinning while a slow write is in progress.
-constexpr milliseconds least_pause{20};
-constexpr std::size_t largest_answer = 16 * 1024 * 1024;
+/// Prevents the heartbeat loop from spinning while a slow write is in progress.
+constexpr milliseconds min_pause{20};
+constexpr std::size_t max_answer_bytes = 16 * 1024 * 1024;
 
 bool needs_escape(std::string_view text) {
     return std::any_of(text.begin(), text.end(),
                        [](unsigned char c) { return c < 0x20 || c == '"' || c == '\\'; });
 }
 
-/// Appends `text` as a JSON string. Ordinary tokens need no escape and no allocation.
+/// Appends `text` as a JSON string. Tokens without characters to escape, the usual case, are copied
+/// without a temporary string.
 void append_json_text(std::string& out, std::string_view text) {
     if (needs_escape(text)) {
         out += boost::json::serialize(boost::json::string(text));
@@ -73,13 +74,13 @@
                                                  sse_writer* writer) {
     while (!state->stop) {
         const time_point due = writer->head_sent_ ? writer->last_write_ + heartbeat_period
-                                                  : writer->timing_.accepted + late_head;
-        co_await wait_on(state->timer, std::max(due, monotonic_now() + least_pause));
+                                                  : writer->timing_.accepted + head_delay;
+        co_await wait_on(state->timer, std::max(due, monotonic_now() + min_pause));
         if (state->stop) {
             break;
         }
         const time_point now = monotonic_now();
-        if (!writer->head_sent_ && now - writer->timing_.accepted >= late_head) {
+        if (!writer->head_sent_ && now - writer->timing_.accepted >= head_delay) {
             co_await writer->send_head(nullptr);
         } else if (writer->head_sent_ && now - writer->last_write_ >= heartbeat_period) {
             writer->last_write_ = now;
@@ -180,7 +181,7 @@
         text_.clear();
     }
     timing_.on_token(monotonic_now());
-    overflow_ = text_.size() + text.size() > largest_answer;
+    overflow_ = text_.size() + text.size() > max_answer_bytes;
     text_ += text;
     co_return !overflow_;
 }
--- a/bamboostream/src/Entry/sse_writer.h
+++ b/bamboostream/src/Entry/sse_writer.h
@@ -13,7 +13,7 @@
 
 namespace bamboostream {
 
-/// Measures a stream's flow as its caller sees it.
+/// Token timing of a stream as seen by its caller.
 struct stream_timing {
     time_point accepted{};
     time_point first_token{};
@@ -24,13 +24,15 @@
     void on_token(time_point now);
 };
 
-/// Writes one caller's stream as server-sent events: the handle before any token, each token with
-/// generation and number, heartbeats while nothing comes, and a final event with the outcome.
+/// Writes a stream to its caller as server-sent events: the resume handle before any token, each
+/// token with its generation and number, heartbeats while there are no tokens, and a final event
+/// with the outcome.
 ///
-/// While a request still waits for its place the head is held back for a moment, so that a refusal
-/// can be a plain error answer and the head can carry the handle. After that moment the head goes
-/// out and heartbeats begin: a caller that hears nothing for two seconds knows that its instance
-/// is frozen or gone, not that the queue is long.
+/// The response head is delayed by up to 800 ms while the request waits in the queue, so that a
+/// refusal can still be sent as an ordinary error response and the head can carry the resume
+/// handle. After that the head is sent without a handle and heartbeats start. A caller that
+/// receives nothing for two seconds can therefore conclude that its instance is frozen or gone,
+/// rather than that the queue is long.
 class sse_writer final : public token_sink {
 public:
     sse_writer(http_exchange& exchange, time_point accepted);
@@ -38,10 +40,10 @@
     sse_writer(const sse_writer&) = delete;
     sse_writer& operator=(const sse_writer&) = delete;
 
-    /// Starts the timer behind the late head and the heartbeats.
+    /// Starts the coroutine that sends the delayed head and the heartbeats.
     void start_heartbeats();
-    /// Stops it and waits until it no longer uses the exchange. Must be awaited before the writer
-    /// goes away.
+    /// Stops that coroutine and waits until it no longer uses the exchange. Must be awaited before
+    /// the writer is destroyed.
     boost::asio::awaitable<void> stop_heartbeats();
 
     boost::asio::awaitable<bool> token(const issued_handle& handle, std::uint64_t number,
@@ -49,7 +51,8 @@
     bool caller_gone() const override { return exchange_.caller_gone(); }
 
     bool head_sent() const { return head_sent_; }
-    /// The tokens so far are void; a new generation follows.
+    /// Tells the caller to discard the tokens of `old_generation`, because a new generation
+    /// follows.
     boost::asio::awaitable<bool> restart(std::string_view old_generation);
     /// Sends the outcome and ends the stream.
     boost::asio::awaitable<bool> finish(std::string_view generation, outcome result,
@@ -67,14 +70,15 @@
     http_exchange& exchange_;
     stream_timing timing_;
     bool head_sent_ = false;
-    /// The generation whose handle the caller has.
+    /// Id of the generation whose handle was last sent to the caller.
     std::string announced_;
     time_point last_write_{};
     std::string line_;
     std::shared_ptr<heartbeat_state> heartbeats_;
 };
 
-/// Collects a whole answer. A restart throws away what was collected.
+/// Collects the text of a non-streaming response. Discards the text collected so far when a new
+/// generation starts. Reports the caller as gone once the text exceeds 16 MiB, which ends the run.
 class answer_buffer final : public token_sink {
 public:
     explicit answer_buffer(time_point accepted) { timing_.accepted = accepted; }
@@ -91,7 +95,7 @@
     bool overflow_ = false;
 };
 
-/// Header of a stream's head that carries the resume handle.
+/// Response header field that carries the resume handle of a stream.
 inline constexpr std::string_view resume_field = "Resume-Handle";
 
 } // namespace bamboostream
--- a/bamboostream/src/Report/explanation.cpp
+++ b/bamboostream/src/Report/explanation.cpp
@@ -13,9 +13,10 @@
 
 namespace {
 
-/// A backend server's notice comes some 2 s before its end, a lost store shows within seconds.
-constexpr std::int64_t looked_back_ms = 5'000;
-constexpr std::int64_t looked_ahead_ms = 1'000;
+/// A backend server announces its shutdown about 2 s in advance, and the loss of the store is
+/// logged within seconds.
+constexpr std::int64_t lookback_ms = 5'000;
+constexpr std::int64_t lookahead_ms = 1'000;
 
 constexpr std::array backend_keys = {std::string_view("backend"), std::string_view("source"),
                                      std::string_view("target")};
@@ -77,7 +78,7 @@
     return out;
 }
 
-bool is_about(const log_line& line, const std::set<std::string_view>& backends) {
+bool names_backend(const log_line& line, const std::set<std::string_view>& backends) {
     return std::any_of(backend_keys.begin(), backend_keys.end(),
                        [&](std::string_view key) { return backends.contains(line.field(key)); });
 }
@@ -87,7 +88,7 @@
            instance_events.end();
 }
 
-/// What a request that is given by its id, or by its digest, asks for; empty when no line says so.
+/// Returns the content digest of a request given by its id or digest; empty when no line names it.
 std::string_view digest_of(std::string_view request, std::span<const log_line> lines) {
     for (const log_line& line : lines) {
         const std::string_view digest = line.field("digest");
@@ -98,7 +99,7 @@
     return {};
 }
 
-/// Whether a line tells of a server that ended under a request, or of the quarantine.
+/// Whether a line reports a server that crashed while running a request, or a change of quarantine.
 bool is_evidence(const log_line& line) {
     const bool ended =
         line.event == events::backend_connection_lost.number && line.field("process") == "ended";
@@ -149,14 +150,14 @@
         }
     }
     std::vector<log_line> out;
-    std::set<std::tuple<int, std::string_view>> told;
+    std::set<std::tuple<int, std::string_view>> reported;
     for (const log_line& line : lines) {
         const bool own = line.field("request") == request;
-        const bool in_time = first != INT64_MAX && line.time_ms >= first - looked_back_ms &&
-                             line.time_ms <= last + looked_ahead_ms;
-        // Lines of other requests at the same server would drown what matters.
-        const bool of_backend = line.field("request").empty() && is_about(line, backends) &&
-                                told.emplace(line.event, line.field("backend")).second;
+        const bool in_time = first != INT64_MAX && line.time_ms >= first - lookback_ms &&
+                             line.time_ms <= last + lookahead_ms;
+        // Lines of other requests on the same server are left out; there may be very many of them.
+        const bool of_backend = line.field("request").empty() && names_backend(line, backends) &&
+                                reported.emplace(line.event, line.field("backend")).second;
         const bool of_instance = is_instance_event(line) && sources.contains(line.source);
         const bool of_content =
             !digest.empty() && line.field("digest") == digest && is_evidence(line);
--- a/bamboostream/src/Report/explanation.h
+++ b/bamboostream/src/Report/explanation.h
@@ -9,9 +9,9 @@
 
 namespace bamboostream {
 
-/// One line of a program's log, as written in either format.
+/// One line of a program's log, parsed from either the text or the JSON format.
 struct log_line {
-    /// Which log it stands in, for instance a file's name.
+    /// The log that contains the line, for example a file name.
     std::string source;
     std::int64_t time_ms = 0;
     int event = 0;
@@ -19,20 +19,24 @@
     std::string name;
     std::string detail;
 
-    /// The value of `key` in the detail; empty when it isn't there.
+    /// Returns the value of `key=` in the detail; empty when the key is absent.
     std::string_view field(std::string_view key) const;
 };
 
-/// Nothing when the text is no line of a log.
+/// Parses a log line; nullopt when the text is not one.
 std::optional<log_line> parse_log_line(std::string_view text, std::string_view source);
 
-/// The lines of all instances that tell what became of a request, by time: its own; those on the
-/// backend servers that it went to, from a while before; and those on the state of the instances
-/// that handled it (store, configuration, shutdown). What several instances say alike of a backend
-/// server is taken once. Where a line of the request names its digest, also which servers ended
-/// under requests of that digest, and when these are held and released.
+/// Returns the log lines, sorted by time, that explain the result of a request:
+///  - the lines of the request itself;
+///  - lines about the backend servers it was sent to, and lines about the state of the instances
+///  that
+///    handled it (store, configuration, shutdown), from 5 s before its first line to 1 s after its
+///    last one;
+///  - when a line of the request names its digest: lines about servers that crashed while running
+///    requests with this digest, and about the quarantine and release of such requests.
 ///
-/// `request` may be a digest itself.
+/// An event about a backend server that several instances logged is returned once. `request` is the
+/// id of a request, or a digest.
 std::vector<log_line> explain_request(std::string_view request, std::span<const log_line> lines);
 
 } // namespace bamboostream
--- a/bamboostream/src/Report/request_metrics.cpp
+++ b/bamboostream/src/Report/request_metrics.cpp
@@ -20,7 +20,7 @@
     double, acc::stats<acc::tag::count, acc::tag::sum, acc::tag::max, acc::tag::p_square_quantile>>;
 
 constexpr double high_quantile = 0.95;
-constexpr std::size_t kept_minutes = 24 * 60;
+constexpr std::size_t max_kept_minutes = 24 * 60;
 
 distribution make_distribution() {
     return distribution(acc::quantile_probability = high_quantile);
@@ -65,7 +65,7 @@
         std::chrono::duration_cast<std::chrono::minutes>(now.time_since_epoch()).count();
     if (s.buckets.empty() || s.buckets.back().minute != minute) {
         s.buckets.push_back({minute, 0, 0, 0, 0, 0});
-        if (s.buckets.size() > kept_minutes) {
+        if (s.buckets.size() > max_kept_minutes) {
             s.buckets.pop_front();
         }
     }
@@ -73,7 +73,7 @@
     burn_bucket& bucket = s.buckets.back();
     ++bucket.requests;
     bucket.late_first_token += over(sample.first_token_ms, objectives.first_token_ms) ? 1 : 0;
-    bucket.uneven += over(sample.mean_gap_ms, objectives.inter_token_ms) ? 1 : 0;
+    bucket.slow_inter_token += over(sample.mean_gap_ms, objectives.inter_token_ms) ? 1 : 0;
     bucket.stalled += over(sample.longest_gap_ms, objectives.stall_ms) ? 1 : 0;
     bucket.not_completed += sample.result != outcome::completed ? 1 : 0;
 }
--- a/bamboostream/src/Report/request_metrics.h
+++ b/bamboostream/src/Report/request_metrics.h
@@ -15,7 +15,7 @@
 
 namespace bamboostream {
 
-/// One finished request, as its caller saw it.
+/// Measurements of one finished request as seen by its caller.
 struct request_sample {
     std::string workspace;
     std::string pool;
@@ -29,8 +29,8 @@
     std::uint32_t restarts = 0;
 };
 
-/// Counts and distributions of finished requests by workspace and pool. Safe to use from every
-/// thread: one lock a finished request, none a token.
+/// Counters and distributions of finished requests by workspace and pool. Thread-safe; takes a lock
+/// once per finished request and never per token.
 class request_metrics {
 public:
     request_metrics();
@@ -38,20 +38,24 @@
     request_metrics(const request_metrics&) = delete;
     request_metrics& operator=(const request_metrics&) = delete;
 
+    /// Adds a finished request and compares it with `objectives`; an objective of zero is not
+    /// checked.
     void record(const request_sample& sample, const service_objectives& objectives, time_point now);
-    /// The usual text exposition of metrics.
+    /// Returns the metrics in the Prometheus text format.
     std::string exposition() const;
 
-    /// Good and bad requests of one minute.
+    /// Number of requests in one minute, and of those that missed each objective. A request may be
+    /// counted in several columns.
     struct burn_bucket {
+        /// Minutes since the epoch of the monotonic clock.
         std::int64_t minute = 0;
         std::uint64_t requests = 0;
         std::uint64_t late_first_token = 0;
-        std::uint64_t uneven = 0;
+        std::uint64_t slow_inter_token = 0;
         std::uint64_t stalled = 0;
         std::uint64_t not_completed = 0;
     };
-    /// Buckets of the last hours for one workspace and pool.
+    /// Buckets of one workspace and pool, oldest first: the latest 1440 minutes that had requests.
     struct burn_row {
         std::string workspace;
         std::string pool;
--- a/programs/bamboostream_load.cpp
+++ b/programs/bamboostream_load.cpp
@@ -1,4 +1,5 @@
-// Sends a seeded load, checks every promise itself and prints the figures.
+// Load generator: sends a reproducible load, verifies the guarantees of the system on its own
+// results and on the journals of the servers, and prints the measured figures.
 
 #include "bamboostream/Client"
 #include "bamboostream/Contracts"
@@ -108,7 +109,8 @@
     asio::awaitable<void> run_one(std::size_t index) {
         request_record& record = records_[index];
         co_await pause(started_ + record.plan.at - monotonic_now());
-        // Every request is a caller of its own with its own view of the directory, as a crowd is.
+        // Each request uses its own client with its own cached directory, as independent callers
+        // do.
         caller client(context_.get_executor(), options_[record.plan.workspace],
                       static_cast<std::uint64_t>(s_.load.seed) * 1'000'003 + index);
         bool returning = false;
@@ -160,7 +162,7 @@
         record.result = record.completion.result;
     }
 
-    asio::awaitable<std::optional<json::value>> journal(std::string address) {
+    asio::awaitable<std::optional<json::value>> fetch_journal(std::string address) {
         http_failure why;
         http_request request = make_request("GET", "/v1/journal");
         const auto response = co_await fetch(context_.get_executor(), address, std::move(request),
@@ -172,9 +174,9 @@
     asio::awaitable<journal_counts> read_journals() {
         journal_counts out;
         for (const std::string& address : split_list(s_.engine_journals)) {
-            const auto value = co_await journal(address);
+            const auto value = co_await fetch_journal(address);
             if (!value) {
-                // A killed engine took its journal with it.
+                // The journal of an engine is lost when the engine is killed.
                 out.complete = false;
                 continue;
             }
@@ -186,7 +188,7 @@
             }
         }
         for (const std::string& address : split_list(s_.service_journals)) {
-            const auto value = co_await journal(address);
+            const auto value = co_await fetch_journal(address);
             if (!value) {
                 out.complete = false;
                 continue;
--- a/programs/bamboostreamctl.cpp
+++ b/programs/bamboostreamctl.cpp
@@ -1,4 +1,4 @@
-// The operators' command line.
+// Command-line tool for operators.
 
 #include "bamboostream/Configuration"
 #include "bamboostream/Contracts"
@@ -40,7 +40,7 @@
     return exit_code_failed;
 }
 
-int unavailable(const std::string& why) {
+int fail_unavailable(const std::string& why) {
     fmt::print(stderr, "bamboostreamctl: no instance answered: {}\n", why);
     return exit_code_unavailable;
 }
@@ -62,7 +62,7 @@
 
 class commands {
 public:
-    explicit commands(ctl_settings s) : s_(std::move(s)), client_(split()) {}
+    explicit commands(ctl_settings s) : s_(std::move(s)), client_(operator_addresses()) {}
 
     int config_validate() const {
         std::string why;
@@ -85,15 +85,15 @@
         if (!document) {
             return fail(why);
         }
-        const auto current = show(why);
+        const auto current = fetch_configuration(why);
         if (!current) {
-            return unavailable(why);
+            return fail_unavailable(why);
         }
         const auto changes = difference(current->at("document"), *document);
         return submit(changes, number_at(*current, "version"));
     }
 
-    /// Takes a failure domain out of service, or back into it.
+    /// Cordons a failure domain, which takes it out of service; `restore` removes the cordon.
     int evacuate() const {
         return change_cordon(json::object{{"reason", "by bamboostreamctl evacuate"}});
     }
@@ -101,9 +101,9 @@
 
     int config_show() const {
         std::string why;
-        const auto current = show(why);
+        const auto current = fetch_configuration(why);
         if (!current) {
-            return unavailable(why);
+            return fail_unavailable(why);
         }
         fmt::print("{}\n", json::serialize(*current));
         return exit_code_ok;
@@ -115,9 +115,9 @@
         if (!document) {
             return fail(why);
         }
-        const auto current = show(why);
+        const auto current = fetch_configuration(why);
         if (!current) {
-            return unavailable(why);
+            return fail_unavailable(why);
         }
         for (const configuration_change& change : difference(current->at("document"), *document)) {
             fmt::print("{} {}\n", change.value.is_null() ? "-" : "~", change.entry);
@@ -128,7 +128,8 @@
     int config_history() const { return print("/v1/configuration/history"); }
     int status() const { return print("/v1/status"); }
 
-    /// Waits until every live instance has the version in force; names those that lag.
+    /// Waits until every live instance has reached the given configuration version. After the
+    /// timeout it lists the instances that have not, and fails.
     int config_wait() const {
         const std::int64_t wanted = std::atoll(s_.argument.c_str());
         const time_point until = monotonic_now() + s_.timeout;
@@ -164,7 +165,7 @@
         const auto answer =
             operator_client::ask_one(client_.addresses().front(), "POST", "/v1/drain", "", why);
         if (!answer) {
-            return unavailable(why);
+            return fail_unavailable(why);
         }
         fmt::print("{}\n", answer->text);
         return answer->status == 200 ? exit_code_ok : exit_code_failed;
@@ -184,19 +185,19 @@
                 }
             }
         }
-        const std::vector<log_line> story = explain_request(s_.command, lines);
-        for (const log_line& line : story) {
+        const std::vector<log_line> explanation = explain_request(s_.command, lines);
+        for (const log_line& line : explanation) {
             fmt::print("{} {} {} {} {}\n", line.time_ms, line.source, line.event, line.name,
                        line.detail);
         }
-        return story.empty() ? fail("no line of these logs names the request") : exit_code_ok;
+        return explanation.empty() ? fail("no line of these logs names the request") : exit_code_ok;
     }
 
     int report_slo() const {
         std::string why;
         const slo_report report = gather_slo_report(client_, why);
         if (report.answered.empty()) {
-            return unavailable(why);
+            return fail_unavailable(why);
         }
         fmt::print("{}", s_.format == "json"   ? as_json(report) + "\n"
                          : s_.format == "html" ? as_html(report)
@@ -219,8 +220,8 @@
         std::string why;
         const auto answer = client_.ask("POST", "/v1/configuration", body, why);
         if (!answer) {
-            return unavailable(why + "; the submission may stand, repeat it with --id " +
-                               submission.id);
+            return fail_unavailable(why + "; the submission may stand, repeat it with --id " +
+                                    submission.id);
         }
         fmt::print("{}\n", answer->text);
         return answer->status == 200 ? exit_code_ok : exit_code_failed;
@@ -228,9 +229,9 @@
 
     int change_cordon(json::value wanted) const {
         std::string why;
-        const auto current = show(why);
+        const auto current = fetch_configuration(why);
         if (!current) {
-            return unavailable(why);
+            return fail_unavailable(why);
         }
         json::value document = current->at("document");
         json::object& cordons = document.as_object()["cordons"].emplace_object();
@@ -246,7 +247,7 @@
                       number_at(*current, "version"));
     }
 
-    std::vector<std::string> split() const {
+    std::vector<std::string> operator_addresses() const {
         std::vector<std::string> out;
         std::string_view rest = s_.operators;
         while (!rest.empty()) {
@@ -257,7 +258,7 @@
         return out;
     }
 
-    std::optional<json::value> show(std::string& why) const {
+    std::optional<json::value> fetch_configuration(std::string& why) const {
         const auto answer = client_.ask("GET", "/v1/configuration", "", why);
         if (!answer || answer->status != 200) {
             return std::nullopt;
@@ -269,7 +270,7 @@
         std::string why;
         const auto answer = client_.ask("GET", target, "", why);
         if (!answer) {
-            return unavailable(why);
+            return fail_unavailable(why);
         }
         fmt::print("{}\n", answer->text);
         return exit_code_ok;
@@ -279,7 +280,7 @@
     operator_client client_;
 };
 
-/// The commands and what carries them out.
+/// A command and the function that executes it.
 struct command_row {
     std::string_view group;
     std::string_view name;
@@ -287,7 +288,7 @@
     bool needs_operators;
     int (commands::*run)() const;
 };
-/// Stands for any word in place of a command's name.
+/// Matches any non-empty word in place of a command name.
 constexpr std::string_view any_name = "*";
 constexpr std::array command_table = {
     command_row{"config", "validate", true, true, &commands::config_validate},
--- a/programs/bamboostreamd.cpp
+++ b/programs/bamboostreamd.cpp
@@ -1,4 +1,4 @@
-// The instance daemon.
+// The daemon that runs one instance.
 
 #include "bamboostream/Core"
 #include "bamboostream/Entry"
--- a/programs/ctl/slo_report.cpp
+++ b/programs/ctl/slo_report.cpp
@@ -14,33 +14,34 @@
 
 namespace {
 
-struct window_kind {
+struct burn_window {
     std::string_view name;
     std::int64_t minutes;
 };
-constexpr std::array<window_kind, 4> windows = {
-    window_kind{"5m", 5}, {"1h", 60}, {"6h", 360}, {"24h", 1440}};
+constexpr std::array<burn_window, 4> windows = {
+    burn_window{"5m", 5}, {"1h", 60}, {"6h", 360}, {"24h", 1440}};
 
-struct objective_kind {
+struct objective_column {
     std::string_view name;
-    /// Position in a bucket as instances send it.
+    /// Index of the objective's column in a bucket as sent by instances.
     std::size_t column;
 };
-constexpr std::array<objective_kind, 4> objectives = {
-    objective_kind{"first_token", 2}, {"inter_token", 3}, {"stall", 4}, {"completion", 5}};
+constexpr std::array<objective_column, 4> objectives = {
+    objective_column{"first_token", 2}, {"inter_token", 3}, {"stall", 4}, {"completion", 5}};
 
 constexpr std::size_t plotted_minutes = 60;
 
-struct pair_key {
+struct workspace_pool {
     std::string workspace;
     std::string pool;
-    auto operator<=>(const pair_key&) const = default;
+    auto operator<=>(const workspace_pool&) const = default;
 };
 
-/// Buckets by age in minutes: requests, then the bad ones by kind.
+/// Sums of buckets over instances, by age in minutes. Column 1 holds the number of requests, the
+/// columns after it the bad requests by objective.
 using buckets_by_age = std::map<std::int64_t, std::array<std::uint64_t, 6>>;
 
-void add_instance(const json::value& body, std::map<pair_key, buckets_by_age>& all) {
+void add_burn_buckets(const json::value& body, std::map<workspace_pool, buckets_by_age>& all) {
     const std::int64_t now = number_at(body, "minute_now");
     for (const json::value& row : body.at("rows").as_array()) {
         buckets_by_age& into = all[{text_at(row, "workspace"), text_at(row, "pool")}];
@@ -54,11 +55,11 @@
     }
 }
 
-burn_line make_line(const pair_key& key, const objective_kind& kind, double target,
-                    const buckets_by_age& buckets) {
+burn_line make_burn_line(const workspace_pool& key, const objective_column& kind, double target,
+                         const buckets_by_age& buckets) {
     burn_line line{key.workspace, key.pool, std::string(kind.name), target, {}, 1.0, {}};
     line.minutes.assign(plotted_minutes, 0.0);
-    for (const window_kind& window : windows) {
+    for (const burn_window& window : windows) {
         burn_figure figure;
         figure.window = window.name;
         for (const auto& [age, sums] : buckets) {
@@ -84,7 +85,7 @@
     return line;
 }
 
-double target_of(const json::value& document, const pair_key& key) {
+double target_of(const json::value& document, const workspace_pool& key) {
     std::vector<json_mistake> ignored;
     const auto parse = [&](std::string_view section, const std::string& name) {
         const json::value* found = document.as_object().if_contains(section);
@@ -101,7 +102,7 @@
     return own > 0.0 ? own : pool > 0.0 ? pool : 0.95;
 }
 
-std::string spark_line(const std::vector<double>& values) {
+std::string sparkline(const std::vector<double>& values) {
     const double top = std::max(1.0, *std::max_element(values.begin(), values.end()));
     std::string points;
     for (std::size_t i = 0; i < values.size(); ++i) {
@@ -122,7 +123,7 @@
         return report;
     }
     const json::value document = configuration->body.at("document");
-    std::map<pair_key, buckets_by_age> all;
+    std::map<workspace_pool, buckets_by_age> all;
     for (const std::string& address : client.all_instances(why)) {
         std::string reason;
         const auto answer = operator_client::ask_one(address, "GET", "/v1/report/burn", "", reason);
@@ -131,11 +132,11 @@
             continue;
         }
         report.answered.push_back(address);
-        add_instance(answer->body, all);
+        add_burn_buckets(answer->body, all);
     }
     for (const auto& [key, buckets] : all) {
-        for (const objective_kind& kind : objectives) {
-            report.lines.push_back(make_line(key, kind, target_of(document, key), buckets));
+        for (const objective_column& kind : objectives) {
+            report.lines.push_back(make_burn_line(key, kind, target_of(document, key), buckets));
         }
     }
     std::stable_sort(
@@ -147,7 +148,7 @@
 std::string as_text(const slo_report& report) {
     std::string out =
         fmt::format("{:<14} {:<12} {:<12} {:>7}", "workspace", "pool", "objective", "target");
-    for (const window_kind& window : windows) {
+    for (const burn_window& window : windows) {
         out += fmt::format(" {:>8}", fmt::format("burn {}", window.name));
     }
     out += fmt::format(" {:>12}\n", "budget left");
@@ -196,7 +197,7 @@
                       "padding:.3em .8em;text-align:right}td:first-child{text-align:left}"
                       ".over{color:#a00;font-weight:bold}</style></head><body>"
                       "<h1>Service-level burn</h1><table><tr><th>workspace / pool / objective</th>";
-    for (const window_kind& window : windows) {
+    for (const burn_window& window : windows) {
         out += fmt::format("<th>burn {}</th>", window.name);
     }
     out += "<th>budget left</th><th>bad requests, last hour</th></tr>\n";
@@ -207,7 +208,7 @@
                                figure.burn);
         }
         out += fmt::format("<td>{:.1f} %</td><td>{}</td></tr>\n", 100.0 * line.budget_left,
-                           spark_line(line.minutes));
+                           sparkline(line.minutes));
     }
     out += fmt::format("</table><p>{} instances answered, {} did not. Requests served by replaced "
                        "instances are not counted.</p></body></html>\n",
--- a/programs/load/load_audit.cpp
+++ b/programs/load/load_audit.cpp
@@ -21,6 +21,7 @@
     return std::round(static_cast<double>(values[rank]) * 10.0) / 10.0;
 }
 
+/// Totals over requests; most are printed under the same name.
 struct counters {
     std::int64_t accepted = 0;
     std::int64_t completed = 0;
@@ -31,6 +32,7 @@
     std::int64_t doubled = 0;
     std::int64_t out_of_order = 0;
     std::int64_t mixed_generation = 0;
+    /// Requests that were reported as not run although a journal contains them.
     std::int64_t dishonest = 0;
     std::int64_t wrong_answers = 0;
     std::int64_t returns = 0;
@@ -81,12 +83,12 @@
             ++c.wrong_answers;
         }
     }
-    const bool whole = got.declared_tokens == got.tokens.size();
+    const bool count_matches = got.declared_tokens == got.tokens.size();
     if (record.ended && record.result == outcome::completed) {
         const auto journal = journals.tokens_of_generation.find(got.generation);
         const bool journal_agrees = journal == journals.tokens_of_generation.end() ||
                                     journal->second == static_cast<std::int64_t>(got.tokens.size());
-        c.lost += whole && journal_agrees ? 0 : 1;
+        c.lost += count_matches && journal_agrees ? 0 : 1;
     }
     const auto ran = journals.generations.find(record.plan.key);
     if (record.ended && record.result == outcome::not_run && ran != journals.generations.end()) {
@@ -112,9 +114,10 @@
     }
 }
 
-/// Jain's index over weighted tokens served until the first workspace ran out of work.
-double jain(const std::vector<request_record>& records, const load_options& options,
-            const std::vector<std::vector<std::uint32_t>>& by_second) {
+/// Jain's fairness index of the weighted number of tokens received by each workspace, up to the
+/// time at which the first workspace ran out of work.
+double jain_index(const std::vector<request_record>& records, const load_options& options,
+                  const std::vector<std::vector<std::uint32_t>>& by_second) {
     std::vector<time_point> last(options.workspaces.size());
     time_point first_start = time_point::max();
     for (const request_record& record : records) {
@@ -234,7 +237,7 @@
                                        {"p95", percentile(d.first_tokens, 0.95)},
                                        {"p99", percentile(d.first_tokens, 0.99)}};
     f["tokens"] = d.gaps.size() + d.first_tokens.size();
-    f["fairness_jain"] = jain(records, options, tokens_by_second);
+    f["fairness_jain"] = jain_index(records, options, tokens_by_second);
     f["journals_complete"] = journals.complete;
     f["workspaces"] = workspace_rows(records, options);
     out.promises_kept = c.lost == 0 && c.doubled == 0 && c.out_of_order == 0 &&
--- a/programs/load/load_plan.cpp
+++ b/programs/load/load_plan.cpp
@@ -26,18 +26,18 @@
     return value;
 }
 
-/// When the i-th of `count` requests is sent.
-duration time_of(const load_options& options, std::size_t i, std::size_t count,
-                 std::mt19937_64& random) {
-    const double whole = to_milliseconds(options.window);
+/// Returns the time at which request `i` of `count` is sent, relative to the start.
+duration send_time(const load_options& options, std::size_t i, std::size_t count,
+                   std::mt19937_64& random) {
+    const double window_ms = to_milliseconds(options.window);
     std::uniform_real_distribution<double> uniform(0.0, 1.0);
     if (options.scenario == "rush") {
-        // Two thirds of the crowd come in the first third of the window.
+        // Two thirds of the requests are sent in the first third of the window.
         const double u = uniform(random);
-        return from_milliseconds(whole * (u < 0.67 ? u / 2.0 : u));
+        return from_milliseconds(window_ms * (u < 0.67 ? u / 2.0 : u));
     }
     const double position = (static_cast<double>(i) + uniform(random)) / static_cast<double>(count);
-    return from_milliseconds(whole * position);
+    return from_milliseconds(window_ms * position);
 }
 
 } // namespace
@@ -79,7 +79,7 @@
     for (std::size_t i = 0; i < count; ++i) {
         planned_request request;
         request.workspace = pick_workspace(random);
-        request.at = time_of(options, i, count, random);
+        request.at = send_time(options, i, count, random);
         request.is_service_call = i >= generations;
         request.key = make_uuid_v7(now);
         request.kind = options.kinds[i % options.kinds.size()];
--- a/test/explanation_test.cpp
+++ b/test/explanation_test.cpp
@@ -1,4 +1,4 @@
-// From a refused request to the servers that ended under requests like it.
+// Tests that a refused request can be traced to the crashes of servers that ran the same content.
 
 #include "bamboostream/Report"
 
@@ -35,7 +35,7 @@
                     explanation_row{"of_nothing_known", "h", {}}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against a refused request whose cause can't be found in the logs.
+// Guards against a quarantined request whose cause cannot be found in the logs.
 TEST_P(explanation, of_a_held_request_shows_what_counts_against_it) {
     std::vector<log_line> lines;
     for (const std::string& text : logs) {
--- a/tools/prove.sh
+++ b/tools/prove.sh
@@ -50,7 +50,7 @@
 prove self_suspicion $s/Membership/member_table.cpp 'suspects_itself_ = many && now - failing_since_ < longest_self_suspicion;' 'suspects_itself_ = false;' 'suspects_itself'
 prove base_version $s/Configuration/configuration_state.cpp 'if (changed > submission->base) {' 'if (false) {' 'racing|conflict|configuration_property|configuration_state_test'
 prove snapshot_hole $s/Configuration/configuration_state.cpp 'number_at(record, "as_of") < readable_from_' 'false' 'snapshot_older|configuration_property'
-prove directory_lapse $s/Entry/instance.cpp 'co_await pause_for(directory_validity + lapse_margin);' 'for (const auto& context : traffic) { context->stop(); }' 'rolling_replacement|entry_drained'
+prove directory_lapse $s/Entry/instance.cpp 'co_await pause_for(directory_validity + directory_validity_margin);' 'for (const auto& context : traffic) { context->stop(); }' 'rolling_replacement|entry_drained'
 prove handle_signature $s/Streams/resume_handle.cpp 'if (!equal_in_constant_time(signature, hmac_sha256(key->secret, payload))) {' 'if (false) {' 'bad_handle|any_text'
 prove home_attach $s/Control/home_service.cpp 'if (held && !stale && !request.take_over) {' 'if (false) {' 'same_key_twice'
 prove hold_back $s/Limits/pool_scheduler.cpp 'return engine.peak_with(demand, margin_sigmas_) <= engine.capacity() * capacity_share_;' 'return true;' 'holds_back|taken_over'
