--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -55,17 +55,17 @@
         const double d = n * sxx - sx * sx;
         factor = d != 0.0 ? (n * sxy - sx * sy) / d : 0.0;
         base = (sy - factor * sx) / n;
-        double miss = 0;
+        double squared_error = 0;
         for (std::size_t i = 0; i < sizes.size(); ++i) {
             const double e = values[i] - base - factor * sizes[i];
-            miss += e * e;
+            squared_error += e * e;
         }
-        error = sy > 0 ? std::sqrt(miss / n) / (sy / n) : 0.0;
+        error = sy > 0 ? std::sqrt(squared_error / n) / (sy / n) : 0.0;
     }
 };
 
 /// The best of several runs: noise only ever adds.
-template <class Work> double best_us(int repeats, Work work) {
+template <class Work> double min_time_us(int repeats, Work work) {
     double best = 1e18;
     for (int i = 0; i < repeats; ++i) {
         const time_point from = monotonic_now();
@@ -108,7 +108,7 @@
         s.dispatch(start);
         std::uint64_t id = 1;
         constexpr int batch = 200;
-        const double us = best_us(15, [&] {
+        const double us = min_time_us(15, [&] {
             for (int i = 0; i < batch; ++i) {
                 s.submit(make_request(id++, "w"), start);
                 s.dispatch(start);
@@ -124,7 +124,7 @@
 slope choice_by_view() {
     slope out{"choice_by_view", "us", "instance that tells of its work", {}, {}};
     constexpr std::uint64_t engines = 130;
-    constexpr std::uint64_t entries_a_peer = 6;
+    constexpr std::uint64_t entries_per_peer = 6;
     std::vector<registered_backend> all(engines);
     std::vector<const registered_backend*> servers;
     for (std::uint64_t i = 0; i < engines; ++i) {
@@ -137,14 +137,15 @@
         load_table loads;
         backend_picker picker(1);
         for (std::uint64_t p = 0; p < peers; ++p) {
-            std::vector<backend_work_entry> told;
-            for (std::uint64_t e = 0; e < entries_a_peer; ++e) {
-                told.push_back({backend_hash(all[(p * 7 + e * 19) % engines].id), {1, 3'000, 0}});
+            std::vector<backend_work_entry> reported;
+            for (std::uint64_t e = 0; e < entries_per_peer; ++e) {
+                reported.push_back(
+                    {backend_hash(all[(p * 7 + e * 19) % engines].id), {1, 3'000, 0}});
             }
-            loads.hear(fmt::format("10.0.{}.{}:7200", p / 250, p % 250), told, start);
+            loads.hear(fmt::format("10.0.{}.{}:7200", p / 250, p % 250), reported, start);
         }
         out.sizes.push_back(static_cast<double>(peers));
-        out.values.push_back(best_us(30, [&] { picker.pick(servers, loads, request, start); }));
+        out.values.push_back(min_time_us(30, [&] { picker.pick(servers, loads, request, start); }));
     }
     return out;
 }
@@ -171,10 +172,11 @@
         for (slope* s : {&out.read, &out.encode, &out.decode, &out.bytes}) {
             s->sizes.push_back(static_cast<double>(routes));
         }
-        out.read.values.push_back(
-            best_us(5, [&] { route_table table(codec.read_configuration(after, why).value()); }));
-        out.encode.values.push_back(best_us(5, [&] { encode_document(2, after, before); }));
-        out.decode.values.push_back(best_us(5, [&] { decode_document(change, before, failure); }));
+        out.read.values.push_back(min_time_us(
+            5, [&] { route_table table(codec.read_configuration(after, why).value()); }));
+        out.encode.values.push_back(min_time_us(5, [&] { encode_document(2, after, before); }));
+        out.decode.values.push_back(
+            min_time_us(5, [&] { decode_document(change, before, failure); }));
         out.bytes.values.push_back(static_cast<double>(change.bytes->size()));
     }
     return out;
@@ -190,7 +192,7 @@
             s.submit(make_request(id++, fmt::format("w{}", i % workspaces)), start);
         }
         constexpr int batch = 20;
-        const double us = best_us(15, [&] {
+        const double us = min_time_us(15, [&] {
             for (int i = 0; i < batch; ++i) {
                 s.submit(make_request(id++, fmt::format("w{}", i % workspaces)), start);
                 s.dispatch(start);
@@ -203,7 +205,7 @@
 }
 
 /// Three engines end one after another under the same requests, as after the loss of three racks.
-std::vector<crash_evidence> evidence_of_bystanders(int requests) {
+std::vector<crash_evidence> make_crash_evidence(int requests) {
     std::vector<crash_evidence> out;
     for (std::uint64_t server = 0; server < 3; ++server) {
         for (int i = 0; i < requests; ++i) {
@@ -222,9 +224,9 @@
 slope quarantine_report() {
     slope out{"quarantine_report", "us", "request on three servers that ended", {}, {}};
     for (const int requests : {100, 400, 1'600}) {
-        const std::vector<crash_evidence> report = evidence_of_bystanders(requests);
+        const std::vector<crash_evidence> report = make_crash_evidence(requests);
         out.sizes.push_back(requests);
-        out.values.push_back(best_us(5, [&] {
+        out.values.push_back(min_time_us(5, [&] {
             request_quarantine quarantine;
             quarantine.add_evidence(report, start + seconds(2));
         }));
@@ -239,12 +241,12 @@
         const std::string body(static_cast<std::size_t>(bytes), 'x');
         out.sizes.push_back(bytes);
         out.values.push_back(
-            best_us(20,
-                    [&] {
-                        for (int i = 0; i < batch; ++i) {
-                            request_digest::of({"workspace", "POST", "/path", body});
-                        }
-                    }) /
+            min_time_us(20,
+                        [&] {
+                            for (int i = 0; i < batch; ++i) {
+                                request_digest::of({"workspace", "POST", "/path", body});
+                            }
+                        }) /
             batch);
     }
     return out;
@@ -261,7 +263,7 @@
                           start);
         }
         time_point now = start;
-        const double us = best_us(20, [&] {
+        const double us = min_time_us(20, [&] {
             now += milliseconds(51);
             s.dispatch(now);
         });
@@ -312,9 +314,9 @@
                 const auto at = static_cast<std::size_t>(
                     std::find(seeds.begin(), seeds.end(), peer) - seeds.begin());
                 member_table& other = *tables[at];
-                const auto carry = [&](const member_gossip& told, member_table& from,
-                                       member_table& to) {
-                    const std::string frame = encode_probe(told);
+                const auto deliver = [&](const member_gossip& reported, member_table& from,
+                                         member_table& to) {
+                    const std::string frame = encode_probe(reported);
                     bytes += static_cast<double>(frame.size()) + headers;
                     frames += 1;
                     const auto decoded = decode_frame(std::string_view(frame).substr(4));
@@ -322,10 +324,10 @@
                     to.hear(heard, from.self().id.address, now);
                     return heard;
                 };
-                const member_gossip asked = carry(own.gossip_to_tell(), own, other);
-                const member_gossip answer = carry(other.answer_to(asked), other, own);
+                const member_gossip asked = deliver(own.gossip_to_tell(), own, other);
+                const member_gossip answer = deliver(other.answer_to(asked), other, own);
                 if (const auto missing = own.missing_at(answer)) {
-                    carry(*missing, own, other);
+                    deliver(*missing, own, other);
                 }
                 own.probe_answered(peer, now);
             }
@@ -346,7 +348,7 @@
         bytes = 0;
         frames = 0;
         constexpr int measured = 50;
-        const double us = best_us(1, [&] { all_rounds(measured); });
+        const double us = min_time_us(1, [&] { all_rounds(measured); });
         const double span = measured * to_milliseconds(timing.probe_period) / 1000.0;
         out.bytes.sizes.push_back(members);
         // Each frame is sent by one and received by another: twice its size over all members.
@@ -390,7 +392,7 @@
             ++offset;
         }
         constexpr int batch = 10;
-        const double us = best_us(7, [&] {
+        const double us = min_time_us(7, [&] {
             for (int i = 0; i < batch; ++i) {
                 state.apply(change_record(offset, i % workspaces));
                 ++offset;
@@ -402,7 +404,7 @@
         out.size.sizes.push_back(workspaces);
         out.size.values.push_back(static_cast<double>(text.size()));
         out.adopt.sizes.push_back(workspaces);
-        out.adopt.values.push_back(best_us(7, [&] {
+        out.adopt.values.push_back(min_time_us(7, [&] {
             configuration_state fresh;
             fresh.adopt(text);
         }));
@@ -443,7 +445,7 @@
         }
         const double heap_before = heap_bytes();
         claim_table table;
-        const double us = best_us(1, [&] {
+        const double us = min_time_us(1, [&] {
             for (const log_record& record : records) {
                 table.apply(record);
             }
@@ -462,9 +464,9 @@
     slope out{"lengths_memory", "bytes", "subject", {}, {}};
     for (const int subjects : {100, 1'000, 7'000}) {
         const double before = heap_bytes();
-        length_estimator book;
+        length_estimator estimator;
         for (int i = 0; i < subjects; ++i) {
-            book.record_end(book.key({fmt::format("w{}", i), "m", "k"}), 100);
+            estimator.record_end(estimator.key({fmt::format("w{}", i), "m", "k"}), 100);
         }
         out.sizes.push_back(subjects);
         out.values.push_back(heap_bytes() - before);
@@ -478,7 +480,7 @@
     const workspace_id owner("w");
     for (const int count : {100, 400, 1'600}) {
         out.sizes.push_back(count);
-        out.values.push_back(best_us(5, [&] {
+        out.values.push_back(min_time_us(5, [&] {
             for (int i = 0; i < count; ++i) {
                 const auto handle = signer.issue(
                     {backend_id("10.0.0.1:80"), generation_id(std::string(32, 'a')), owner, 10});
@@ -499,7 +501,7 @@
                 {"k", sha256_hex(std::to_string(i))});
         }
         out.sizes.push_back(workspaces);
-        out.values.push_back(best_us(50, [&] { document.workspace_of_key(sha256_hex("5")); }));
+        out.values.push_back(min_time_us(50, [&] { document.workspace_of_key(sha256_hex("5")); }));
     }
     return out;
 }
--- a/bench/policy/recorder.cpp
+++ b/bench/policy/recorder.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Gaps above this count as silence in the total.
-constexpr double silence_ms = 500.0;
+constexpr double silence_threshold_ms = 500.0;
 constexpr double backlog_factor = 1.4;
 
 double percentile(std::vector<float>& values, double p) {
@@ -77,55 +77,55 @@
 /// Max-min fair shares of what was served, over what each workspace asked for; the workspaces that
 /// wanted more than their share are the backlogged equals.
 void recorder::measure_fairness(time_point, time_point, double, run_measures& out) const {
-    std::vector<double> asked(served_.size(), 0.0);
+    std::vector<double> demand(served_.size(), 0.0);
     double total = 0.0;
     for (const auto& [id, s] : streams_) {
-        asked[s.request->workspace] += s.request->output_tokens;
+        demand[s.request->workspace] += s.request->output_tokens;
     }
     for (const double tokens : served_) {
         total += tokens;
     }
-    std::vector<std::size_t> order(asked.size());
+    std::vector<std::size_t> order(demand.size());
     for (std::size_t i = 0; i < order.size(); ++i) {
         order[i] = i;
     }
     std::sort(order.begin(), order.end(),
-              [&](std::size_t a, std::size_t b) { return asked[a] < asked[b]; });
-    double left = total;
+              [&](std::size_t a, std::size_t b) { return demand[a] < demand[b]; });
+    double remaining = total;
     std::vector<std::size_t> backlogged;
     for (std::size_t i = 0; i < order.size(); ++i) {
-        const double share = left / static_cast<double>(order.size() - i);
+        const double share = remaining / static_cast<double>(order.size() - i);
         // Who asks for little more than its share is not backlogged all the time.
-        if (asked[order[i]] > share * backlog_factor) {
+        if (demand[order[i]] > share * backlog_factor) {
             backlogged.assign(order.begin() + static_cast<std::ptrdiff_t>(i), order.end());
             break;
         }
-        left -= std::min(asked[order[i]], share);
+        remaining -= std::min(demand[order[i]], share);
     }
     double sum = 0.0;
     double squares = 0.0;
-    double least = 1e18;
-    double most = 0.0;
+    double min_served = 1e18;
+    double max_served = 0.0;
     for (const std::size_t w : backlogged) {
         sum += served_[w];
         squares += served_[w] * served_[w];
-        least = std::min(least, served_[w]);
-        most = std::max(most, served_[w]);
+        min_served = std::min(min_served, served_[w]);
+        max_served = std::max(max_served, served_[w]);
     }
     if (backlogged.size() > 1 && squares > 0.0) {
         out.jain = sum * sum / (static_cast<double>(backlogged.size()) * squares);
-        out.largest_gap_tokens = most - least;
+        out.largest_gap_tokens = max_served - min_served;
     }
 }
 
 /// A refusal was wrong when a request of the same workspace and kind that came later, and was never
 /// refused, started before the refused one's deadline.
 void recorder::measure_refusals(run_measures& out) const {
-    struct later {
+    struct started_request {
         time_point arrived;
         time_point started;
     };
-    std::unordered_map<std::string, std::vector<later>> starts;
+    std::unordered_map<std::string, std::vector<started_request>> starts;
     const auto group = [](const stream& s) {
         return std::to_string(s.request->workspace) + s.request->kind;
     };
@@ -143,11 +143,12 @@
         refused += 1.0;
         const time_point deadline = s.arrived + workload_.deadline;
         const auto& candidates = starts[group(s)];
-        const bool late_comer = std::any_of(candidates.begin(), candidates.end(),
-                                            [deadline, arrived = s.arrived](const later& l) {
-                                                return l.arrived > arrived && l.started < deadline;
-                                            });
-        wrong += late_comer ? 1.0 : 0.0;
+        const bool later_request_started =
+            std::any_of(candidates.begin(), candidates.end(),
+                        [deadline, arrived = s.arrived](const started_request& l) {
+                            return l.arrived > arrived && l.started < deadline;
+                        });
+        wrong += later_request_started ? 1.0 : 0.0;
     }
     const auto all = static_cast<double>(streams_.size());
     out.refused_share = all > 0.0 ? refused / all : 0.0;
@@ -163,12 +164,12 @@
     std::vector<float> silences;
     std::vector<float> first_tokens;
     std::vector<float> short_first_tokens;
-    double began = 0.0;
+    double started_count = 0.0;
     for (const auto& [id, s] : streams_) {
         if (s.tokens == 0) {
             continue;
         }
-        began += 1.0;
+        started_count += 1.0;
         duration longest = s.longest;
         if (!s.done) {
             longest = std::max(longest, end - s.last_token);
@@ -182,7 +183,7 @@
         out.completed += s.done ? 1.0 : 0.0;
     }
     for (const float gap : gaps_) {
-        out.total_silence_s += gap > silence_ms ? gap / 1000.0 : 0.0;
+        out.total_silence_s += gap > silence_threshold_ms ? gap / 1000.0 : 0.0;
     }
     std::vector<float> gaps = gaps_;
     out.inter_token_p99_ms = percentile(gaps, 0.99);
@@ -192,7 +193,7 @@
     out.first_token_p95_ms = percentile(first_tokens, 0.95);
     out.short_first_token_p999_ms = percentile(short_first_tokens, 0.999);
     out.preemptions_per_1000 =
-        began > 0.0 ? 1000.0 * static_cast<double>(preemptions) / began : 0.0;
+        started_count > 0.0 ? 1000.0 * static_cast<double>(preemptions) / started_count : 0.0;
     const double span = std::chrono::duration<double>(end - start).count();
     out.throughput_tokens_per_s = served_in_window_ / span;
     measure_fairness(start, end, out.throughput_tokens_per_s, out);
--- a/bench/policy/report.cpp
+++ b/bench/policy/report.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-std::string as_table(const std::vector<result_row>& rows) {
+std::string format_table(const std::vector<result_row>& rows) {
     std::string out;
     for (const auto& [key, policies] : group_rows(rows)) {
         fmt::format_to(std::back_inserter(out), "\n{} at {} %\n{:<22}", key.workload,
--- a/bench/policy/report.h
+++ b/bench/policy/report.h
@@ -17,7 +17,7 @@
 };
 
 /// Medians over the seeds, a line a workload, load and policy.
-std::string as_table(const std::vector<result_row>& rows);
+std::string format_table(const std::vector<result_row>& rows);
 void write_json(const std::vector<result_row>& rows, const std::string& file);
 /// One SVG a measure: bars of the medians by workload and policy.
 void write_plots(const std::vector<result_row>& rows, const std::string& folder);
--- a/bench/policy/simulation.cpp
+++ b/bench/policy/simulation.cpp
@@ -19,14 +19,14 @@
 using standins::model_event;
 using standins::model_job;
 
-constexpr milliseconds one_way{1};
+constexpr milliseconds one_way_delay{1};
 constexpr milliseconds dispatch_period{5};
 constexpr milliseconds poll_period{500};
-constexpr milliseconds ends_period{10};
+constexpr milliseconds end_report_period{10};
 constexpr milliseconds progress_period{250};
-constexpr milliseconds trouble_at{20'000};
-constexpr milliseconds trouble_ends{40'000};
-constexpr int most_returns = 4;
+constexpr milliseconds fault_begin{20'000};
+constexpr milliseconds fault_end{40'000};
+constexpr int max_returns = 4;
 const time_point origin{seconds(1'000)};
 
 /// Events in order of time; equal times in order of scheduling.
@@ -70,14 +70,14 @@
         for (std::size_t i = 0; i < w.engines; ++i) {
             engines_.push_back(std::make_unique<engine_model>(w.engine));
             alive_.push_back(true);
-            armed_.push_back(false);
+            step_scheduled_.push_back(false);
         }
         schedulers_.resize(w.instances + 1);
         reports_.resize(w.engines);
         outstanding_.assign(w.instances, std::vector<double>(w.engines, 0.0));
-        round_.assign(w.instances, 0);
+        next_round_robin_.assign(w.instances, 0);
         for (std::size_t i = 0; i < w.instances; ++i) {
-            round_[i] = random_() % w.engines;
+            next_round_robin_[i] = random_() % w.engines;
         }
     }
 
@@ -89,12 +89,12 @@
             by_id_[r.id] = &r;
         }
         poll();
-        if (central()) {
+        if (uses_pool_scheduler()) {
             scheduler(0);
             tick();
             report_progress();
         }
-        schedule_trouble();
+        schedule_fault();
         while (queue_.run_next(end, now_)) {
         }
         now_ = end;
@@ -110,10 +110,10 @@
         std::size_t engine = 0;
         std::size_t scheduler = 0;
         std::uint32_t tokens = 0;
-        std::uint32_t told = 0;
+        std::uint32_t reported_tokens = 0;
     };
 
-    bool central() const {
+    bool uses_pool_scheduler() const {
         return policy_ == policy_kind::bamboostream || policy_ == policy_kind::oracle;
     }
     bool is_oracle() const { return policy_ == policy_kind::oracle; }
@@ -121,7 +121,7 @@
         if (is_oracle()) {
             return duration::zero();
         }
-        return one_way + microseconds(std::uniform_int_distribution<int>(0, 500)(random_));
+        return one_way_delay + microseconds(std::uniform_int_distribution<int>(0, 500)(random_));
     }
 
     pool_scheduler& scheduler(std::size_t index) {
@@ -145,14 +145,14 @@
 
     // ---- Engines
 
-    void arm(std::size_t engine) {
+    void schedule_step(std::size_t engine) {
         const auto next = engines_[engine]->next_step_end();
-        if (!next || armed_[engine] || !alive_[engine]) {
+        if (!next || step_scheduled_[engine] || !alive_[engine]) {
             return;
         }
-        armed_[engine] = true;
+        step_scheduled_[engine] = true;
         queue_.at(*next, [this, engine] {
-            armed_[engine] = false;
+            step_scheduled_[engine] = false;
             advance(engine);
         });
     }
@@ -162,7 +162,7 @@
             return;
         }
         engines_[engine]->advance(now_, [this](const model_event& e) { on_event(e); });
-        arm(engine);
+        schedule_step(engine);
     }
 
     void on_event(const model_event& e) {
@@ -173,12 +173,12 @@
         if (e.what == model_event::kind::token) {
             found->second.tokens = e.sequence + 1;
             recorder_.token(e.id, e.at);
-            if (e.sequence == 0 && central()) {
+            if (e.sequence == 0 && uses_pool_scheduler()) {
                 // First tokens are told at once, as ends are.
                 generation_progress facts;
                 facts.id = e.id;
                 facts.tokens = 1;
-                queue_.at(now_ + ends_period / 2 + delay(),
+                queue_.at(now_ + end_report_period / 2 + delay(),
                           [this, facts, index = found->second.scheduler] {
                               scheduler(index).on_progress(facts, now_);
                           });
@@ -195,8 +195,8 @@
         placed_.erase(found);
         const simulated_request& r = *by_id_.at(id);
         outstanding_[r.instance][p.engine] -= 1.0;
-        if (central()) {
-            queue_.at(now_ + (is_oracle() ? duration::zero() : ends_period / 2 + delay()),
+        if (uses_pool_scheduler()) {
+            queue_.at(now_ + (is_oracle() ? duration::zero() : end_report_period / 2 + delay()),
                       [this, id, p, how] {
                           scheduler(p.scheduler).on_finished(id, p.tokens, how, now_);
                           dispatch(p.scheduler);
@@ -219,18 +219,18 @@
         job.prefix_tokens = r.prompt_tokens / 2;
         advance(engine);
         engines_[engine]->submit(job, now_);
-        arm(engine);
+        schedule_step(engine);
     }
 
     // ---- Requests
 
     void arrive(const simulated_request& r) {
         recorder_.arrived(r, now_);
-        ask(r);
+        request_placement(r);
     }
 
-    void ask(const simulated_request& r) {
-        if (!central()) {
+    void request_placement(const simulated_request& r) {
+        if (!uses_pool_scheduler()) {
             const std::size_t engine = choose_baseline(r.instance);
             outstanding_[r.instance][engine] += 1.0;
             queue_.at(now_ + delay(), [this, &r, engine] { submit(r, engine, 0); });
@@ -248,10 +248,10 @@
             request.prefix = r.prefix;
             request.start_by = start_by;
             request.exact_output_tokens = is_oracle() ? r.output_tokens : 0;
-            interested_[r.id] = index;
+            scheduler_of_[r.id] = index;
             pending_[r.id] = request;
             if (const auto decided = scheduler(index).submit(request, now_)) {
-                take(index, *decided);
+                apply_decision(index, *decided);
             }
             dispatch(index);
         });
@@ -259,13 +259,13 @@
 
     void dispatch(std::size_t index) {
         for (const scheduling_decision& decision : scheduler(index).dispatch(now_)) {
-            take(index, decision);
+            apply_decision(index, decision);
         }
     }
 
-    void take(std::size_t index, const scheduling_decision& decision) {
+    void apply_decision(std::size_t index, const scheduling_decision& decision) {
         const simulated_request& r = *by_id_.at(decision.id);
-        interested_.erase(decision.id);
+        scheduler_of_.erase(decision.id);
         pending_.erase(decision.id);
         if (decision.granted) {
             const std::size_t engine = std::stoul(decision.backend.text());
@@ -276,12 +276,12 @@
         }
         queue_.at(now_ + delay(), [this, &r, wait = decision.retry_after] {
             recorder_.refused(r.id, now_);
-            if (++returns_[r.id] > most_returns) {
+            if (++returns_[r.id] > max_returns) {
                 return;
             }
             queue_.at(now_ + wait, [this, &r] {
                 recorder_.returned(r.id);
-                ask(r);
+                request_placement(r);
             });
         });
     }
@@ -294,7 +294,7 @@
         }
         // The instances of waiting requests ask again, as the real ones do.
         if (++ticks_ % 140 == 0) {
-            for (const auto& [id, index] : interested_) {
+            for (const auto& [id, index] : scheduler_of_) {
                 scheduler(index).submit(pending_.at(id), now_);
             }
         }
@@ -367,28 +367,28 @@
         default:
             break;
         }
-        std::size_t next = round_[instance];
+        std::size_t next = next_round_robin_[instance];
         do {
             next = (next + 1) % w_.engines;
         } while (!alive_[next]);
-        round_[instance] = next;
+        next_round_robin_[instance] = next;
         return next;
     }
 
     // ---- Trouble
 
-    void schedule_trouble() {
-        const time_point from = origin + trouble_at;
-        const time_point to = origin + trouble_ends;
-        switch (w_.trouble) {
-        case disturbance::engine_reclaimed:
+    void schedule_fault() {
+        const time_point from = origin + fault_begin;
+        const time_point to = origin + fault_end;
+        switch (w_.fault) {
+        case fault_kind::engine_reclaimed:
             queue_.at(from, [this] { reclaim(0); });
             break;
-        case disturbance::engine_slow:
+        case fault_kind::engine_slow:
             queue_.at(from, [this] { engines_[0]->set_slowness(3.0); });
             queue_.at(to, [this] { engines_[0]->set_slowness(1.0); });
             break;
-        case disturbance::reports_frozen:
+        case fault_kind::reports_frozen:
             queue_.at(from, [this] {
                 for (const auto& e : engines_) {
                     e->set_report_frozen(true, now_);
@@ -400,12 +400,12 @@
                 }
             });
             break;
-        case disturbance::instance_cut:
+        case fault_kind::instance_cut:
             queue_.at(from, [this] { cut_ = true; });
             queue_.at(to, [this] { cut_ = false; });
             break;
-        case disturbance::none:
-        case disturbance::length_drift:
+        case fault_kind::none:
+        case fault_kind::length_drift:
             break;
         }
     }
@@ -439,17 +439,17 @@
     time_point now_{};
     std::vector<std::unique_ptr<engine_model>> engines_;
     std::vector<bool> alive_;
-    std::vector<bool> armed_;
+    std::vector<bool> step_scheduled_;
     std::vector<engine_report> reports_;
     /// Index 0 is the pool's owner, the others are instances on their own.
     std::vector<std::unique_ptr<pool_scheduler>> schedulers_;
     std::unordered_map<std::uint64_t, const simulated_request*> by_id_;
     std::unordered_map<std::uint64_t, placed> placed_;
-    std::unordered_map<std::uint64_t, std::size_t> interested_;
+    std::unordered_map<std::uint64_t, std::size_t> scheduler_of_;
     std::unordered_map<std::uint64_t, scheduling_request> pending_;
     std::unordered_map<std::uint64_t, int> returns_;
     std::vector<std::vector<double>> outstanding_;
-    std::vector<std::size_t> round_;
+    std::vector<std::size_t> next_round_robin_;
     std::uint64_t ticks_ = 0;
     bool cut_ = false;
 };
--- a/bench/policy/workload.cpp
+++ b/bench/policy/workload.cpp
@@ -16,13 +16,13 @@
     std::string kind;
     double median;
     double sigma;
-    std::uint32_t least_prompt;
-    std::uint32_t most_prompt;
+    std::uint32_t min_prompt_tokens;
+    std::uint32_t max_prompt_tokens;
     double share;
 };
 
 /// The registry drafts statements; the consortium writes short labels among long summaries.
-const std::vector<output_shape>& shapes_of(bool tail_latency) {
+const std::vector<output_shape>& output_shapes(bool tail_latency) {
     static const std::vector<output_shape> registry = {
         {"draft", 160.0, 0.9, 100, 600, 0.8},
         {"reconciliation", 400.0, 0.7, 300, 1200, 0.2},
@@ -34,21 +34,21 @@
     return tail_latency ? consortium : registry;
 }
 
-constexpr double longest_output = 6000.0;
+constexpr double max_output_tokens = 6000.0;
 constexpr std::size_t large_workspaces = 3;
-constexpr double share_of_large = 0.7;
-constexpr std::uint64_t prefixes_a_workspace = 6;
+constexpr double large_workspace_share = 0.7;
+constexpr std::uint64_t prefixes_per_workspace = 6;
 
 std::size_t draw_workspace(const workload& w, std::mt19937_64& random) {
     std::uniform_real_distribution<> uniform(0.0, 1.0);
-    if (uniform(random) < share_of_large) {
+    if (uniform(random) < large_workspace_share) {
         return std::uniform_int_distribution<std::size_t>(0, large_workspaces - 1)(random);
     }
     return std::uniform_int_distribution<std::size_t>(large_workspaces, w.workspaces - 1)(random);
 }
 
 void draw_output(const workload& w, simulated_request& r, double stretch, std::mt19937_64& random) {
-    const auto& shapes = shapes_of(w.tail_latency);
+    const auto& shapes = output_shapes(w.tail_latency);
     double u = std::uniform_real_distribution<>(0.0, 1.0)(random);
     std::size_t i = 0;
     while (i + 1 < shapes.size() && u >= shapes[i].share) {
@@ -56,35 +56,35 @@
     }
     const output_shape& shape = shapes[i];
     r.kind = shape.kind;
-    r.prompt_tokens =
-        std::uniform_int_distribution<std::uint32_t>(shape.least_prompt, shape.most_prompt)(random);
+    r.prompt_tokens = std::uniform_int_distribution<std::uint32_t>(shape.min_prompt_tokens,
+                                                                   shape.max_prompt_tokens)(random);
     const double normal = std::normal_distribution<>(0.0, 1.0)(random);
-    r.output_tokens = static_cast<std::uint32_t>(
-        std::clamp(stretch * shape.median * std::exp(shape.sigma * normal), 1.0, longest_output));
+    r.output_tokens = static_cast<std::uint32_t>(std::clamp(
+        stretch * shape.median * std::exp(shape.sigma * normal), 1.0, max_output_tokens));
 }
 
 } // namespace
 
 std::vector<workload> all_workloads() {
     std::vector<workload> out;
-    const auto add = [&](std::string name, bool tail, bool rush, disturbance trouble) {
+    const auto add = [&](std::string name, bool tail, bool rush, fault_kind fault) {
         workload w;
         w.name = std::move(name);
         w.tail_latency = tail;
         w.engines = tail ? 15 : 10;
         w.rush = rush;
-        w.trouble = trouble;
+        w.fault = fault;
         out.push_back(w);
     };
-    add("registry_steady", false, false, disturbance::none);
-    add("consortium_steady", true, false, disturbance::none);
-    add("registry_rush", false, true, disturbance::none);
-    add("consortium_rush", true, true, disturbance::none);
-    add("registry_drift", false, false, disturbance::length_drift);
-    add("consortium_reclaimed", true, false, disturbance::engine_reclaimed);
-    add("registry_slow_engine", false, false, disturbance::engine_slow);
-    add("registry_reports_frozen", false, false, disturbance::reports_frozen);
-    add("consortium_instance_cut", true, false, disturbance::instance_cut);
+    add("registry_steady", false, false, fault_kind::none);
+    add("consortium_steady", true, false, fault_kind::none);
+    add("registry_rush", false, true, fault_kind::none);
+    add("consortium_rush", true, true, fault_kind::none);
+    add("registry_drift", false, false, fault_kind::length_drift);
+    add("consortium_reclaimed", true, false, fault_kind::engine_reclaimed);
+    add("registry_slow_engine", false, false, fault_kind::engine_slow);
+    add("registry_reports_frozen", false, false, fault_kind::reports_frozen);
+    add("consortium_instance_cut", true, false, fault_kind::instance_cut);
     return out;
 }
 
@@ -105,10 +105,10 @@
         r.at = from_milliseconds(position * span * 1000.0);
         r.workspace = draw_workspace(w, random);
         r.instance = std::uniform_int_distribution<std::size_t>(0, w.instances - 1)(random);
-        const bool drifted = w.trouble == disturbance::length_drift && position > 0.4;
+        const bool drifted = w.fault == fault_kind::length_drift && position > 0.4;
         draw_output(w, r, drifted ? 2.5 : 1.0, random);
         r.prefix =
-            uniform(random) < 0.5 ? r.workspace * 100 + 1 + random() % prefixes_a_workspace : 0;
+            uniform(random) < 0.5 ? r.workspace * 100 + 1 + random() % prefixes_per_workspace : 0;
     }
     std::sort(out.begin(), out.end(),
               [](const simulated_request& a, const simulated_request& b) { return a.at < b.at; });
@@ -124,7 +124,7 @@
         return found->second;
     }
     workload plain = w;
-    plain.trouble = disturbance::none;
+    plain.fault = fault_kind::none;
     plain.rush = false;
     plain.deadline = milliseconds(600'000);
     std::mt19937_64 random(4242);
--- a/bench/policy/workload.h
+++ b/bench/policy/workload.h
@@ -23,7 +23,7 @@
 };
 
 /// What goes wrong during a run.
-enum class disturbance : std::uint8_t {
+enum class fault_kind : std::uint8_t {
     none,
     length_drift,
     engine_reclaimed,
@@ -40,7 +40,7 @@
     std::size_t workspaces = 10;
     std::size_t instances = 8;
     bool rush = false;
-    disturbance trouble = disturbance::none;
+    fault_kind fault = fault_kind::none;
     seconds length{60};
     milliseconds deadline{30'000};
     standins::engine_parameters engine;
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -28,7 +28,7 @@
         if (!only.empty() && w.name.find(only) == std::string::npos) {
             continue;
         }
-        const bool steady = !w.rush && w.trouble == disturbance::none;
+        const bool steady = !w.rush && w.fault == fault_kind::none;
         const std::vector<int> loads =
             steady ? std::vector<int>{70, 90, 110, 200} : std::vector<int>{w.rush ? 90 : 110};
         for (const int load : loads) {
@@ -80,7 +80,7 @@
             });
         }
     }
-    fmt::print("{}", as_table(rows));
+    fmt::print("{}", format_table(rows));
     if (!json_file.empty()) {
         write_json(rows, json_file);
     }
--- a/bench/stream_bench.cpp
+++ b/bench/stream_bench.cpp
@@ -29,9 +29,9 @@
 namespace {
 
 const std::string caller_key = "bench-key";
-constexpr milliseconds request_limit{10'000};
-constexpr std::int64_t tokens_a_turn = 32;
-constexpr std::int64_t most_tokens_a_stream = 1'000'000;
+constexpr milliseconds request_timeout{10'000};
+constexpr std::int64_t tokens_per_yield = 32;
+constexpr std::int64_t max_tokens_per_stream = 1'000'000;
 
 struct bench_settings {
     std::string platform;
@@ -52,12 +52,12 @@
 }
 
 /// An engine that sends tokens at a set pace, each with the time at which it was sent.
-class pacing_engine {
+class paced_engine {
 public:
-    explicit pacing_engine(asio::io_context& context) : context_(context) {}
+    explicit paced_engine(asio::io_context& context) : context_(context) {}
 
     /// Time between two tokens of a stream; zero as fast as they are taken.
-    std::atomic<std::int64_t> pace_us{36'000};
+    std::atomic<std::int64_t> token_interval_us{36'000};
     std::atomic<bool> stop{false};
 
     asio::awaitable<void> handle(http_exchange& exchange) {
@@ -90,18 +90,18 @@
         time_point next = monotonic_now();
         std::string line;
         while (!stop && !exchange.caller_gone()) {
-            const std::int64_t pace = pace_us;
+            const std::int64_t interval_us = token_interval_us;
             line.clear();
             fmt::format_to(std::back_inserter(line),
                            "data: {{\"id\":\"{}\",\"seq\":{},\"text\":\"@{}@\"}}\n\n", id, number++,
                            monotonic_ns());
             co_await exchange.write(line);
-            if (pace == 0 && number % tokens_a_turn == 0) {
+            if (interval_us == 0 && number % tokens_per_yield == 0) {
                 // A socket that always takes more must not keep the other streams waiting.
                 co_await asio::post(context_, asio::use_awaitable);
             }
-            if (pace > 0) {
-                next += microseconds(pace);
+            if (interval_us > 0) {
+                next += microseconds(interval_us);
                 timer.expires_at(next);
                 co_await timer.async_wait(asio::use_awaitable);
             }
@@ -117,11 +117,11 @@
 };
 
 /// Reads streams and notes how long each token travelled.
-class token_sinks {
+class stream_clients {
 public:
-    explicit token_sinks(asio::io_context& context) : context_(context) {}
+    explicit stream_clients(asio::io_context& context) : context_(context) {}
 
-    std::vector<float> travel_ms;
+    std::vector<float> latency_ms;
     std::atomic<std::int64_t> tokens{0};
     std::atomic<std::int64_t> open{0};
 
@@ -145,7 +145,7 @@
         request.fields.push_back({"Authorization", "Bearer " + caller_key});
         http_failure why;
         auto stream = co_await open_http_stream(context_.get_executor(), address,
-                                                std::move(request), request_limit, why);
+                                                std::move(request), request_timeout, why);
         std::string buffer;
         while (stream) {
             buffer.clear();
@@ -153,12 +153,12 @@
             if (!more) {
                 break;
             }
-            take(buffer);
+            record_tokens(buffer);
         }
         --open;
     }
 
-    void take(std::string_view bytes) {
+    void record_tokens(std::string_view bytes) {
         const std::int64_t now = monotonic_ns();
         for (std::size_t at = bytes.find('@'); at != std::string_view::npos;
              at = bytes.find('@', at + 1)) {
@@ -168,7 +168,7 @@
             }
             std::int64_t sent = 0;
             std::from_chars(bytes.data() + at + 1, bytes.data() + end, sent);
-            travel_ms.push_back(static_cast<float>(now - sent) / 1e6F);
+            latency_ms.push_back(static_cast<float>(now - sent) / 1e6F);
             ++tokens;
             at = end;
         }
@@ -182,13 +182,13 @@
 };
 
 /// Processor time of a process in seconds, and its resident memory in bytes.
-struct process_use {
+struct process_usage {
     double cpu_seconds = 0.0;
     double resident_bytes = 0.0;
 };
 
-process_use use_of(std::int64_t pid) {
-    process_use out;
+process_usage read_process_usage(std::int64_t pid) {
+    process_usage out;
     std::ifstream stat(fmt::format("/proc/{}/stat", pid));
     std::string text((std::istreambuf_iterator<char>(stat)), std::istreambuf_iterator<char>());
     const std::size_t close = text.rfind(')');
@@ -228,15 +228,15 @@
     std::string address;
     std::int64_t pid = 0;
     int streams = 0;
-    std::int64_t pace_us = 0;
+    std::int64_t token_interval_us = 0;
 };
 
 class bench {
 public:
     explicit bench(bench_settings s)
-        : s_(std::move(s)), engine_(engine_context_), sinks_(sink_context_),
-          engine_guard_(engine_context_.get_executor()), sink_guard_(sink_context_.get_executor()) {
-    }
+        : s_(std::move(s)), engine_(engine_context_), clients_(client_context_),
+          engine_guard_(engine_context_.get_executor()),
+          client_guard_(client_context_.get_executor()) {}
 
     int run() {
         http_server server({&engine_context_}, {},
@@ -249,7 +249,7 @@
         }
         engine_address_ = *address;
         std::jthread engine_thread([this] { engine_context_.run(); });
-        std::jthread sink_thread([this] { sink_context_.run(); });
+        std::jthread client_thread([this] { client_context_.run(); });
         std::ofstream(s_.announce_file) << engine_address_ << '\n';
         const bool ready = prepare();
         if (ready) {
@@ -257,7 +257,7 @@
         }
         engine_.stop = true;
         engine_context_.stop();
-        sink_context_.stop();
+        client_context_.stop();
         if (ready && !s_.json_file.empty()) {
             std::ofstream(s_.json_file) << json::serialize(rows_) << '\n';
         }
@@ -275,7 +275,7 @@
                 http_failure why;
                 http_request request = make_request(method, target, body);
                 response = co_await fetch(context.get_executor(), address, std::move(request),
-                                          request_limit, why);
+                                          request_timeout, why);
             },
             asio::detached);
         context.run();
@@ -304,11 +304,12 @@
     }
 
     void measure_all() {
-        constexpr std::int64_t even_pace = 36'000;
+        constexpr std::int64_t paced_interval_us = 36'000;
         for (const int streams : {100, 200, 400}) {
-            measure({"paced", "direct", engine_address_, 0, streams, even_pace});
-            measure({"paced", "tcp_relay", s_.relay, s_.relay_pid, streams, even_pace});
-            measure({"paced", "bamboostream", s_.callers, s_.daemon_pid, streams, even_pace});
+            measure({"paced", "direct", engine_address_, 0, streams, paced_interval_us});
+            measure({"paced", "tcp_relay", s_.relay, s_.relay_pid, streams, paced_interval_us});
+            measure(
+                {"paced", "bamboostream", s_.callers, s_.daemon_pid, streams, paced_interval_us});
         }
         measure({"peak", "tcp_relay", s_.relay, s_.relay_pid, 64, 0});
         measure({"peak", "bamboostream", s_.callers, s_.daemon_pid, 64, 0});
@@ -316,26 +317,26 @@
 
     void measure(const phase& p) {
         engine_.stop = false;
-        engine_.pace_us = p.pace_us;
-        sinks_.direct_ = p.path != "bamboostream";
-        const process_use idle = p.pid > 0 ? use_of(p.pid) : process_use{};
-        asio::post(sink_context_, [&] {
+        engine_.token_interval_us = p.token_interval_us;
+        clients_.direct_ = p.path != "bamboostream";
+        const process_usage idle = p.pid > 0 ? read_process_usage(p.pid) : process_usage{};
+        asio::post(client_context_, [&] {
             for (int i = 0; i < p.streams; ++i) {
-                sinks_.start(p.address, next_stream_++, most_tokens_a_stream);
+                clients_.start(p.address, next_stream_++, max_tokens_per_stream);
             }
         });
         std::this_thread::sleep_for(seconds(1));
-        reset();
-        const process_use before = p.pid > 0 ? use_of(p.pid) : process_use{};
+        take_latencies();
+        const process_usage before = p.pid > 0 ? read_process_usage(p.pid) : process_usage{};
         const time_point started = monotonic_now();
-        const std::int64_t first = sinks_.tokens;
+        const std::int64_t first = clients_.tokens;
         std::this_thread::sleep_for(s_.phase);
-        const std::int64_t count = sinks_.tokens - first;
+        const std::int64_t count = clients_.tokens - first;
         const double span = std::chrono::duration<double>(monotonic_now() - started).count();
-        const process_use after = p.pid > 0 ? use_of(p.pid) : process_use{};
+        const process_usage after = p.pid > 0 ? read_process_usage(p.pid) : process_usage{};
         engine_.stop = true;
-        const std::vector<float> travel = reset();
-        while (sinks_.open > 0) {
+        const std::vector<float> latencies = take_latencies();
+        while (clients_.open > 0) {
             std::this_thread::sleep_for(milliseconds(20));
         }
         const double rate = static_cast<double>(count) / span;
@@ -348,23 +349,23 @@
             {"cores", cores},
             {"us_per_token", rate > 0 ? 1e6 * cores / rate : 0.0},
             {"kib_per_stream", (after.resident_bytes - idle.resident_bytes) / 1024.0 / p.streams},
-            {"travel_ms_p50", percentile(travel, 0.5)},
-            {"travel_ms_p99", percentile(travel, 0.99)}};
+            {"travel_ms_p50", percentile(latencies, 0.5)},
+            {"travel_ms_p99", percentile(latencies, 0.99)}};
         fmt::print("{:<6} {:<13} {:>4} streams {:>8.0f} tokens/s {:>6.3f} cores {:>6.2f} us/token "
                    "p50 {:.3f} ms p99 {:.3f} ms\n",
                    p.name, p.path, p.streams, rate, cores, rate > 0 ? 1e6 * cores / rate : 0.0,
-                   percentile(travel, 0.5), percentile(travel, 0.99));
+                   percentile(latencies, 0.5), percentile(latencies, 0.99));
         std::fflush(stdout);
         rows_.push_back(row);
     }
 
     /// Takes the travel times out on the thread that writes them.
-    std::vector<float> reset() {
+    std::vector<float> take_latencies() {
         std::vector<float> out;
         std::atomic<bool> done{false};
-        asio::post(sink_context_, [&] {
-            out.swap(sinks_.travel_ms);
-            sinks_.travel_ms.reserve(1'000'000);
+        asio::post(client_context_, [&] {
+            out.swap(clients_.latency_ms);
+            clients_.latency_ms.reserve(1'000'000);
             done = true;
         });
         while (!done) {
@@ -375,11 +376,11 @@
 
     bench_settings s_;
     asio::io_context engine_context_{1};
-    asio::io_context sink_context_{1};
-    pacing_engine engine_;
-    token_sinks sinks_;
+    asio::io_context client_context_{1};
+    paced_engine engine_;
+    stream_clients clients_;
     asio::executor_work_guard<asio::io_context::executor_type> engine_guard_;
-    asio::executor_work_guard<asio::io_context::executor_type> sink_guard_;
+    asio::executor_work_guard<asio::io_context::executor_type> client_guard_;
     std::string engine_address_;
     int next_stream_ = 0;
     json::array rows_;
--- a/standins/engine_model.cpp
+++ b/standins/engine_model.cpp
@@ -6,8 +6,8 @@
 namespace bamboostream::standins {
 
 namespace {
-constexpr std::size_t kept_cache_events = 4096;
-constexpr milliseconds history_step{20};
+constexpr std::size_t max_cache_events = 4096;
+constexpr milliseconds history_interval{20};
 } // namespace
 
 engine_model::engine_model(engine_parameters parameters)
@@ -53,7 +53,7 @@
     return true;
 }
 
-bool engine_model::use_prefix(const model_job& job) {
+bool engine_model::touch_prefix(const model_job& job) {
     if (job.prefix == 0) {
         return false;
     }
@@ -69,7 +69,7 @@
         cache_events_.push_back({next_cache_event_++, prefixes_.front(), false});
         prefixes_.pop_front();
     }
-    while (cache_events_.size() > kept_cache_events) {
+    while (cache_events_.size() > max_cache_events) {
         cache_events_.pop_front();
     }
     return hit;
@@ -90,9 +90,9 @@
         s.blocks = need;
         free_blocks_ -= need;
         // A generation that was only set aside kept its cache; the others compute it again.
-        const bool kept = parameters_.mode == preemption_mode::wait && s.produced > 0;
-        s.to_prefill = kept ? 0 : std::max(s.job.prompt_tokens + s.produced, 1U);
-        if (use_prefix(s.job) && s.to_prefill > 0) {
+        const bool cache_kept = parameters_.mode == preemption_mode::wait && s.produced > 0;
+        s.to_prefill = cache_kept ? 0 : std::max(s.job.prompt_tokens + s.produced, 1U);
+        if (touch_prefix(s.job) && s.to_prefill > 0) {
             s.to_prefill -= std::min(s.to_prefill - 1, s.job.prefix_tokens);
         }
         s.to_prefill -= std::min(s.to_prefill, std::exchange(s.job.carried_tokens, 0));
@@ -220,7 +220,7 @@
 }
 
 void engine_model::record(time_point at) {
-    if (!history_.empty() && at - history_.back().at < history_step) {
+    if (!history_.empty() && at - history_.back().at < history_interval) {
         return;
     }
     history_.push_back({at, report_now()});
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -115,7 +115,7 @@
     void preempt(std::size_t index, const sink& events);
     void release(sequence& s);
     void record(time_point at);
-    bool use_prefix(const model_job& job);
+    bool touch_prefix(const model_job& job);
 
     engine_parameters parameters_;
     std::deque<sequence> waiting_;
--- a/standins/fault_proxy.cpp
+++ b/standins/fault_proxy.cpp
@@ -36,11 +36,11 @@
     std::int64_t cut_after = 0;
 };
 
-struct proxy_link {
-    proxy_link(tcp::socket c, tcp::socket s) : client(std::move(c)), server(std::move(s)) {}
+struct proxied_connection {
+    proxied_connection(tcp::socket c, tcp::socket s) : client(std::move(c)), server(std::move(s)) {}
     tcp::socket client;
     tcp::socket server;
-    std::int64_t answered = 0;
+    std::int64_t response_bytes = 0;
     /// Nothing passes on this connection any more, and nobody is told.
     bool frozen = false;
     void close() {
@@ -86,8 +86,8 @@
             faults_.refuse = number_at(*value, "refuse", faults_.refuse ? 1 : 0) != 0;
             faults_.cut_after = number_at(*value, "cut_after", faults_.cut_after);
             if (number_at(*value, "freeze") != 0) {
-                for (const auto& link : links_) {
-                    link->frozen = true;
+                for (const auto& connection : connections_) {
+                    connection->frozen = true;
                 }
             }
             if (number_at(*value, "cut") != 0) {
@@ -102,10 +102,10 @@
     static auto token(error_code& ec) { return asio::redirect_error(asio::use_awaitable, ec); }
 
     void cut_all() {
-        for (const auto& link : links_) {
-            link->close();
+        for (const auto& connection : connections_) {
+            connection->close();
         }
-        links_.clear();
+        connections_.clear();
     }
 
     asio::awaitable<void> accept_loop() {
@@ -131,10 +131,13 @@
         }
         client.set_option(tcp::no_delay(true), ec);
         server.set_option(tcp::no_delay(true), ec);
-        auto link = std::make_shared<proxy_link>(std::move(client), std::move(server));
-        links_.insert(link);
-        asio::co_spawn(context_, pump(link, link->client, link->server, false), asio::detached);
-        asio::co_spawn(context_, pump(link, link->server, link->client, true), asio::detached);
+        auto connection =
+            std::make_shared<proxied_connection>(std::move(client), std::move(server));
+        connections_.insert(connection);
+        asio::co_spawn(context_, forward(connection, connection->client, connection->server, false),
+                       asio::detached);
+        asio::co_spawn(context_, forward(connection, connection->server, connection->client, true),
+                       asio::detached);
     }
 
     asio::awaitable<void> pause(milliseconds time) {
@@ -142,8 +145,8 @@
         co_await timer.async_wait(asio::use_awaitable);
     }
 
-    asio::awaitable<void> pump(std::shared_ptr<proxy_link> link, tcp::socket& from, tcp::socket& to,
-                               bool answers) {
+    asio::awaitable<void> forward(std::shared_ptr<proxied_connection> connection, tcp::socket& from,
+                                  tcp::socket& to, bool from_server) {
         std::array<char, 16384> buffer{};
         error_code ec;
         while (true) {
@@ -155,30 +158,30 @@
             if (faults_.delay.count() > 0) {
                 co_await pause(faults_.delay);
             }
-            while ((faults_.stalled || link->frozen) && to.is_open()) {
+            while ((faults_.stalled || connection->frozen) && to.is_open()) {
                 co_await pause(milliseconds(20));
             }
-            if (answers ? faults_.lose_answers : faults_.lose_requests) {
+            if (from_server ? faults_.lose_answers : faults_.lose_requests) {
                 continue;
             }
             co_await asio::async_write(to, asio::buffer(buffer.data(), count), token(ec));
             if (ec) {
                 break;
             }
-            link->answered += answers ? static_cast<std::int64_t>(count) : 0;
-            if (faults_.cut_after > 0 && link->answered >= faults_.cut_after) {
+            connection->response_bytes += from_server ? static_cast<std::int64_t>(count) : 0;
+            if (faults_.cut_after > 0 && connection->response_bytes >= faults_.cut_after) {
                 break;
             }
         }
-        link->close();
-        links_.erase(link);
+        connection->close();
+        connections_.erase(connection);
     }
 
     asio::io_context& context_;
     std::string target_;
     tcp::acceptor acceptor_;
     proxy_faults faults_;
-    std::set<std::shared_ptr<proxy_link>> links_;
+    std::set<std::shared_ptr<proxied_connection>> connections_;
 };
 
 } // namespace
--- a/standins/standin_engine.cpp
+++ b/standins/standin_engine.cpp
@@ -25,10 +25,10 @@
 namespace {
 
 constexpr milliseconds keep_alive_period{500};
-constexpr milliseconds kept_after_end{30'000};
+constexpr milliseconds finished_retention{30'000};
 
 /// How this engine takes orders.
-struct order_rules {
+struct order_options {
     bool fencing = true;
     milliseconds load_time{300};
     std::string weight_store;
@@ -57,7 +57,7 @@
     }
 };
 
-struct kind_of_output {
+struct length_distribution {
     double median = 0.0;
     double sigma = 0.0;
 };
@@ -65,24 +65,25 @@
 /// Output lengths by kind: log-normal, heavy tailed, drawn from the seed and the request's key so
 /// that a request has the same length wherever and whenever it runs.
 std::uint32_t draw_length(const std::string& kind, std::uint64_t seed, const std::string& key) {
-    static const std::map<std::string, kind_of_output> kinds = {
+    static const std::map<std::string, length_distribution> kinds = {
         {"label", {12.0, 0.5}}, {"summary", {220.0, 0.8}}, {"draft", {160.0, 0.9}},
         {"short", {20.0, 0.6}}, {"long", {500.0, 0.8}},    {"constant", {64.0, 0.0}},
     };
     const auto found = kinds.find(kind);
-    const kind_of_output shape = found == kinds.end() ? kind_of_output{120.0, 0.9} : found->second;
+    const length_distribution distribution =
+        found == kinds.end() ? length_distribution{120.0, 0.9} : found->second;
     std::mt19937_64 random(stable_hash(key, seed));
     const double normal = std::normal_distribution<double>(0.0, 1.0)(random);
     return static_cast<std::uint32_t>(
-        std::clamp(shape.median * std::exp(shape.sigma * normal), 1.0, 20'000.0));
+        std::clamp(distribution.median * std::exp(distribution.sigma * normal), 1.0, 20'000.0));
 }
 
 class engine_server {
 public:
     engine_server(asio::io_context& context, engine_parameters parameters, std::string model,
-                  std::string version, order_rules rules, std::int64_t seed)
+                  std::string version, order_options rules, std::int64_t seed)
         : context_(context), model_(parameters), served_model_(std::move(model)),
-          version_(std::move(version)), rules_(std::move(rules)),
+          version_(std::move(version)), order_options_(std::move(rules)),
           seed_(static_cast<std::uint64_t>(seed)), step_timer_(context) {}
 
     asio::awaitable<void> handle(http_exchange& exchange) {
@@ -182,25 +183,25 @@
 
     void run_model() {
         model_.advance(monotonic_now(), [this](const model_event& e) { on_event(e); });
-        arm();
+        schedule_step();
     }
 
-    void arm() {
+    void schedule_step() {
         const auto next = model_.next_step_end();
-        if (!next || armed_) {
+        if (!next || step_scheduled_) {
             return;
         }
-        armed_ = true;
+        step_scheduled_ = true;
         step_timer_.expires_at(*next);
         step_timer_.async_wait([this](boost::system::error_code) {
-            armed_ = false;
+            step_scheduled_ = false;
             run_model();
         });
     }
 
     void on_event(const model_event& e) {
-        const auto found = by_number_.find(e.id);
-        if (found == by_number_.end()) {
+        const auto found = generations_by_number_.find(e.id);
+        if (found == generations_by_number_.end()) {
             return;
         }
         generation& g = *found->second;
@@ -211,7 +212,7 @@
         case model_event::kind::finished:
             g.finished = true;
             g.ended = monotonic_now();
-            by_number_.erase(found);
+            generations_by_number_.erase(found);
             break;
         case model_event::kind::preempted:
             ++g.preemptions;
@@ -256,9 +257,9 @@
         g->prompt_tokens = static_cast<std::uint32_t>(number_at(value, "prompt_tokens", 32));
         const std::string key = g->request_key.empty() ? id : g->request_key;
         std::uint32_t length = draw_length(text_at(value, "kind"), seed_, key);
-        const auto most = static_cast<std::uint32_t>(number_at(value, "max_tokens", 0));
-        g->length_limited = most > 0 && length >= most;
-        length = most > 0 ? std::min(length, most) : length;
+        const auto max_tokens = static_cast<std::uint32_t>(number_at(value, "max_tokens", 0));
+        g->length_limited = max_tokens > 0 && length >= max_tokens;
+        length = max_tokens > 0 ? std::min(length, max_tokens) : length;
         model_job job;
         job.id = g->number;
         job.prompt_tokens = g->prompt_tokens;
@@ -266,18 +267,18 @@
         job.priority = static_cast<priority_level>(
             std::clamp<std::int64_t>(number_at(value, "priority", 1), 0, 2));
         generations_[id] = g;
-        by_number_[g->number] = g;
+        generations_by_number_[g->number] = g;
         model_.submit(job, monotonic_now());
-        arm();
-        forget_old();
+        schedule_step();
+        remove_expired();
         return g;
     }
 
-    void forget_old() {
+    void remove_expired() {
         const time_point now = monotonic_now();
         if (!keep_journal_) {
             std::erase_if(generations_, [now](const auto& item) {
-                return item.second->finished && now - item.second->ended > kept_after_end;
+                return item.second->finished && now - item.second->ended > finished_retention;
             });
         }
     }
@@ -366,7 +367,7 @@
             if (!g->finished && model_.cancel(g->number)) {
                 g->cancelled = true;
                 g->ended = monotonic_now();
-                by_number_.erase(g->number);
+                generations_by_number_.erase(g->number);
                 g->notify();
             }
             co_await respond(exchange, 200, "{}");
@@ -385,7 +386,7 @@
             co_return;
         }
         const std::int64_t fencing = number_at(*value, "fencing");
-        if (rules_.fencing && fencing < last_fencing_) {
+        if (order_options_.fencing && fencing < last_fencing_) {
             co_await respond(exchange, 409, R"({"error":{"code":"old_fencing_number"}})");
             co_return;
         }
@@ -405,18 +406,19 @@
 
     asio::awaitable<void> load(std::string model, std::string version) {
         loading_ = true;
-        while (!rules_.weight_store.empty()) {
+        while (!order_options_.weight_store.empty()) {
             http_failure why;
             http_request request =
                 make_request("GET", fmt::format("/v1/weights/{}/{}", model, version));
-            const auto response = co_await fetch(context_.get_executor(), rules_.weight_store,
-                                                 std::move(request), milliseconds(1000), why);
+            const auto response =
+                co_await fetch(context_.get_executor(), order_options_.weight_store,
+                               std::move(request), milliseconds(1000), why);
             if (response && response->status == 200) {
                 break;
             }
             co_await pause(milliseconds(200));
         }
-        co_await pause(rules_.load_time);
+        co_await pause(order_options_.load_time);
         served_model_ = model;
         version_ = version;
         loading_ = false;
@@ -442,12 +444,12 @@
     engine_model model_;
     std::string served_model_;
     std::string version_;
-    order_rules rules_;
+    order_options order_options_;
     std::uint64_t seed_;
     asio::steady_timer step_timer_;
-    bool armed_ = false;
+    bool step_scheduled_ = false;
     std::map<std::string, std::shared_ptr<generation>> generations_;
-    std::map<std::uint64_t, std::shared_ptr<generation>> by_number_;
+    std::map<std::uint64_t, std::shared_ptr<generation>> generations_by_number_;
     std::uint64_t next_number_ = 1;
     wall_time start_stamp_ = wall_now();
     bool leaving_ = false;
@@ -467,7 +469,7 @@
 int main(int argc, char** argv) {
     standin_options options;
     engine_parameters parameters;
-    order_rules rules;
+    order_options rules;
     std::string model = "standard";
     std::string version = "1";
     std::string preemption = "recompute";
--- a/standins/standin_log.cpp
+++ b/standins/standin_log.cpp
@@ -35,7 +35,8 @@
     log_server(asio::io_context& context, std::int64_t rate, milliseconds retention,
                std::int64_t seed)
         : context_(context), rate_(static_cast<double>(rate)), retention_(retention),
-          random_(static_cast<std::uint64_t>(seed)), allowance_(static_cast<double>(rate) / 4) {}
+          random_(static_cast<std::uint64_t>(seed)), append_tokens_(static_cast<double>(rate) / 4) {
+    }
 
     asio::awaitable<void> handle(http_exchange& exchange) {
         const http_request& request = exchange.request();
@@ -59,20 +60,20 @@
         co_await timer.async_wait(asio::use_awaitable);
     }
 
-    bool take_allowance() {
+    bool consume_append_token() {
         const time_point now = monotonic_now();
         const double elapsed = std::chrono::duration<double>(now - refilled_).count();
-        allowance_ = std::min(rate_ / 4, allowance_ + elapsed * rate_);
+        append_tokens_ = std::min(rate_ / 4, append_tokens_ + elapsed * rate_);
         refilled_ = now;
-        if (allowance_ < 1.0) {
+        if (append_tokens_ < 1.0) {
             return false;
         }
-        allowance_ -= 1.0;
+        append_tokens_ -= 1.0;
         return true;
     }
 
     asio::awaitable<void> append(http_exchange& exchange, std::string name) {
-        if (!take_allowance()) {
+        if (!consume_append_token()) {
             ++refused_;
             co_await exchange.respond_json(429, R"({"error":{"code":"too_many_appends"}})");
             co_return;
@@ -168,7 +169,7 @@
     double rate_;
     milliseconds retention_;
     std::mt19937_64 random_;
-    double allowance_;
+    double append_tokens_;
     time_point refilled_ = monotonic_now();
     std::map<std::string, stream_data> streams_;
     std::vector<asio::steady_timer*> waiters_;
--- a/standins/standin_platform.cpp
+++ b/standins/standin_platform.cpp
@@ -39,7 +39,7 @@
 
 private:
     /// A change of the list, visible once the lag has passed.
-    struct pending {
+    struct pending_change {
         time_point visible_at{};
         std::string address;
         json::value machine;
@@ -61,8 +61,8 @@
 
     void apply_due() {
         const time_point now = monotonic_now();
-        std::deque<pending> later;
-        for (pending& p : pending_) {
+        std::deque<pending_change> later;
+        for (pending_change& p : pending_) {
             if (p.visible_at > now) {
                 later.push_back(std::move(p));
             } else if (number_at(p.machine, "remove") != 0) {
@@ -113,7 +113,7 @@
     milliseconds lag_;
     std::int64_t weight_rate_;
     std::map<std::string, json::value> machines_;
-    std::deque<pending> pending_;
+    std::deque<pending_change> pending_;
     std::deque<time_point> loads_;
     std::int64_t weights_refused_ = 0;
     bool down_ = false;
--- a/standins/standin_server.cpp
+++ b/standins/standin_server.cpp
@@ -32,14 +32,14 @@
 constexpr int exit_code_crashed = 70;
 
 /// Ends the process, without an answer to anyone, when a request holds the text for that.
-http_handler ending_on(boost::asio::io_context& context, const standin_options& options,
-                       http_handler handler) {
+http_handler with_crash_trigger(boost::asio::io_context& context, const standin_options& options,
+                                http_handler handler) {
     return [&context, &options, handler = std::move(handler)](http_exchange& exchange) {
         if (!options.end_on.empty() &&
             exchange.request().body.find(options.end_on) != std::string::npos) {
-            const auto due =
+            const auto crash_timer =
                 std::make_shared<boost::asio::steady_timer>(context, options.end_after);
-            due->async_wait([due](auto) { std::_Exit(exit_code_crashed); });
+            crash_timer->async_wait([crash_timer](auto) { std::_Exit(exit_code_crashed); });
         }
         return handler(exchange);
     };
@@ -49,7 +49,7 @@
 
 int run_standin(boost::asio::io_context& context, const standin_options& options,
                 http_handler handler) {
-    http_server server({&context}, {}, ending_on(context, options, std::move(handler)));
+    http_server server({&context}, {}, with_crash_trigger(context, options, std::move(handler)));
     std::string why;
     const auto bound = server.listen(options.listen, why);
     if (!bound) {
--- a/test/engine_model_test.cpp
+++ b/test/engine_model_test.cpp
@@ -7,17 +7,17 @@
 
 const time_point start{seconds(10)};
 
-struct crowd_case {
+struct memory_pressure_case {
     const char* name;
     preemption_mode mode;
     std::uint32_t blocks;
     bool preempts;
-    friend void PrintTo(const crowd_case& c, std::ostream* out) { *out << c.name; }
+    friend void PrintTo(const memory_pressure_case& c, std::ostream* out) { *out << c.name; }
 };
-class crowd_test : public testing::TestWithParam<crowd_case> {};
+class memory_pressure_test : public testing::TestWithParam<memory_pressure_case> {};
 
 // Whatever is pushed out, every job ends with all its tokens, each once and in order.
-TEST_P(crowd_test, every_job_gets_all_its_tokens) {
+TEST_P(memory_pressure_test, every_job_gets_all_its_tokens) {
     engine_parameters parameters;
     parameters.blocks = GetParam().blocks;
     parameters.mode = GetParam().mode;
@@ -46,26 +46,26 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    crowds, crowd_test,
-    testing::Values(crowd_case{"roomy", preemption_mode::recompute, 1024, false},
-                    crowd_case{"tight_recompute", preemption_mode::recompute, 120, true},
-                    crowd_case{"tight_wait", preemption_mode::wait, 120, true}),
+    cache_sizes, memory_pressure_test,
+    testing::Values(memory_pressure_case{"roomy", preemption_mode::recompute, 1024, false},
+                    memory_pressure_case{"tight_recompute", preemption_mode::recompute, 120, true},
+                    memory_pressure_case{"tight_wait", preemption_mode::wait, 120, true}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(engine_model_test, lowest_priority_goes_first_and_reports_lag) {
+TEST(engine_model_test, lowest_priority_is_preempted_first_and_reports_lag) {
     engine_parameters parameters;
     parameters.blocks = 28;
     engine_model model(parameters);
     model.submit({1, 100, 300, priority_level::urgent, 0, 0}, start);
     model.submit({2, 100, 300, priority_level::batch, 0, 0}, start);
-    std::vector<std::uint64_t> pushed_out;
+    std::vector<std::uint64_t> preempted_ids;
     model.advance(start + seconds(20), [&](const model_event& e) {
         if (e.what == model_event::kind::preempted) {
-            pushed_out.push_back(e.id);
+            preempted_ids.push_back(e.id);
         }
     });
-    ASSERT_FALSE(pushed_out.empty());
-    for (const std::uint64_t id : pushed_out) {
+    ASSERT_FALSE(preempted_ids.empty());
+    for (const std::uint64_t id : preempted_ids) {
         EXPECT_EQ(id, 2U);
     }
     EXPECT_GE(model.report(start + seconds(20)).age, parameters.report_lag);
