--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -1,5 +1,6 @@
-// Slopes of the decision objects: processor time, bytes and messages at three or more sizes each,
-// with a straight line fitted and its error. docs/CAPACITY.md is worked out from them.
+// Measures how the costs of the decision objects (processor time, bytes and messages) grow with
+// their size. Each is measured at three or more sizes; a straight line is fitted and its error
+// reported. The figures in docs/CAPACITY.md are derived from these results.
 
 #include "bamboostream/Configuration"
 #include "bamboostream/Core"
@@ -27,7 +28,7 @@
 
 const time_point start{seconds(1'000)};
 
-/// One quantity measured at several sizes.
+/// One quantity measured at several sizes, and the line fitted to it by least squares.
 struct slope {
     std::string name;
     std::string unit;
@@ -35,9 +36,10 @@
     std::vector<double> sizes;
     std::vector<double> values;
 
+    /// The line is `base + factor * size`.
     double factor = 0.0;
     double base = 0.0;
-    /// Root mean square of what the line misses, as a share of the mean.
+    /// Root mean square of the residuals, as a fraction of the mean value.
     double error = 0.0;
 
     void fit() {
@@ -64,7 +66,7 @@
     }
 };
 
-/// The best of several runs: noise only ever adds.
+/// The shortest duration of several runs, because noise can only lengthen a run.
 template <class Work> double min_time_us(int repeats, Work work) {
     double best = 1e18;
     for (int i = 0; i < repeats; ++i) {
@@ -120,7 +122,7 @@
     return out;
 }
 
-/// One choice among 130 engines by what all instances have told of their work.
+/// One choice among 130 engines from the work that all instances have reported.
 slope choice_by_view() {
     slope out{"choice_by_view", "us", "instance that tells of its work", {}, {}};
     constexpr std::uint64_t engines = 130;
@@ -150,9 +152,9 @@
     return out;
 }
 
-/// What a change of one route costs the instances of a platform, by the routes that there are.
-/// Before, each instance received the whole document (350 kB at 1,500 routes, 4.7 MB at 20,000) and
-/// read it on the thread of the requests.
+/// Cost of changing one route, by the number of routes in the document. Changes are sent as
+/// differences because each instance used to receive the whole document (350 kB at 1,500 routes,
+/// 4.7 MB at 20,000) and to parse it on the thread that serves requests.
 struct document_figures {
     slope read{"document_read", "us", "route", {}, {}};
     slope encode{"document_change_encode", "us", "route", {}, {}};
@@ -204,7 +206,8 @@
     return out;
 }
 
-/// Three engines end one after another under the same requests, as after the loss of three racks.
+/// Evidence that three engines ended one after another (400 ms apart) with the same requests on
+/// them, as after the loss of three racks. None of the requests caused it.
 std::vector<crash_evidence> make_crash_evidence(int requests) {
     std::vector<crash_evidence> out;
     for (std::uint64_t server = 0; server < 3; ++server) {
@@ -273,8 +276,8 @@
     return out;
 }
 
-/// Bytes and frames that one member sends and receives a second, with the real tables and codec;
-/// TCP and IP headers are added.
+/// Bytes and frames that one member sends and receives per second, measured with the real member
+/// tables and frame codec. Bytes include 52 bytes of TCP and IP headers for each frame.
 struct gossip_figures {
     slope bytes{"gossip_bytes_per_second", "bytes/s", "member", {}, {}};
     slope messages{"gossip_messages_per_second", "1/s", "member", {}, {}};
@@ -341,7 +344,7 @@
                 }
             }
         };
-        // Until the news of the members' joining has been told.
+        // Warm-up until every member has learnt that the others joined.
         all_rounds(members * 3);
         out.memory.sizes.push_back(members);
         out.memory.values.push_back((heap_bytes() - heap_before) / members);
@@ -351,7 +354,7 @@
         const double us = min_time_us(1, [&] { all_rounds(measured); });
         const double span = measured * to_milliseconds(timing.probe_period) / 1000.0;
         out.bytes.sizes.push_back(members);
-        // Each frame is sent by one and received by another: twice its size over all members.
+        // A frame is sent by one member and received by another, so it counts twice in the total.
         out.bytes.values.push_back(2 * bytes / members / span);
         out.messages.sizes.push_back(members);
         out.messages.values.push_back(2 * frames / members / span);
--- a/bench/policy/recorder.cpp
+++ b/bench/policy/recorder.cpp
@@ -6,8 +6,10 @@
 
 namespace {
 
-/// Gaps above this count as silence in the total.
+/// Gaps between tokens that exceed this count towards `total_silence_s`.
 constexpr double silence_threshold_ms = 500.0;
+/// A workspace is backlogged if its demand exceeds its fair share by this factor. One with only
+/// slightly more demand is not backlogged during the whole run.
 constexpr double backlog_factor = 1.4;
 
 double percentile(std::vector<float>& values, double p) {
@@ -74,8 +76,9 @@
     ++returns_;
 }
 
-/// Max-min fair shares of what was served, over what each workspace asked for; the workspaces that
-/// wanted more than their share are the backlogged equals.
+/// Computes max-min fair shares of the served tokens from the demand of each workspace. Jain's
+/// index and the largest gap are taken over the backlogged workspaces, which have equal fair
+/// shares.
 void recorder::measure_fairness(time_point, time_point, double, run_measures& out) const {
     std::vector<double> demand(served_.size(), 0.0);
     double total = 0.0;
@@ -95,7 +98,6 @@
     std::vector<std::size_t> backlogged;
     for (std::size_t i = 0; i < order.size(); ++i) {
         const double share = remaining / static_cast<double>(order.size() - i);
-        // Who asks for little more than its share is not backlogged all the time.
         if (demand[order[i]] > share * backlog_factor) {
             backlogged.assign(order.begin() + static_cast<std::ptrdiff_t>(i), order.end());
             break;
@@ -118,8 +120,8 @@
     }
 }
 
-/// A refusal was wrong when a request of the same workspace and kind that came later, and was never
-/// refused, started before the refused one's deadline.
+/// A refusal counts as wrong if a request of the same workspace and kind that arrived later and was
+/// never refused started before the deadline of the refused request.
 void recorder::measure_refusals(run_measures& out) const {
     struct started_request {
         time_point arrived;
--- a/bench/policy/recorder.h
+++ b/bench/policy/recorder.h
@@ -7,7 +7,7 @@
 
 namespace bamboostream::bench {
 
-/// Collects what callers see during a run and turns it into the measures.
+/// Records the events of a run as callers observe them and computes its measures.
 class recorder {
 public:
     recorder(const workload& w, const std::vector<simulated_request>& requests);
@@ -16,12 +16,14 @@
     void token(std::uint64_t id, time_point now);
     void finished(std::uint64_t id, time_point now);
     void refused(std::uint64_t id, time_point now);
+    /// The request was submitted again after a refusal.
     void returned(std::uint64_t id);
-    /// The request was given a place.
+    /// The request was submitted to an engine.
     void started(std::uint64_t id, time_point now);
     run_measures measures(time_point start, time_point end, std::uint64_t preemptions) const;
 
 private:
+    /// The history of one request.
     struct stream {
         const simulated_request* request = nullptr;
         time_point arrived{};
@@ -29,6 +31,7 @@
         time_point refused{};
         time_point first_token{};
         time_point last_token{};
+        /// Longest gap between two tokens.
         duration longest{0};
         std::uint32_t tokens = 0;
         bool done = false;
@@ -41,7 +44,9 @@
 
     const workload& workload_;
     std::unordered_map<std::uint64_t, stream> streams_;
+    /// Gaps between successive tokens of all streams, in ms.
     std::vector<float> gaps_;
+    /// Tokens generated for each workspace.
     std::vector<double> served_;
     double served_in_window_ = 0.0;
     std::uint64_t returns_ = 0;
--- a/bench/policy/report.h
+++ b/bench/policy/report.h
@@ -7,7 +7,7 @@
 
 namespace bamboostream::bench {
 
-/// One run.
+/// The measures of one run.
 struct result_row {
     std::string workload;
     int load_percent = 0;
@@ -16,10 +16,11 @@
     run_measures measures;
 };
 
-/// Medians over the seeds, a line a workload, load and policy.
+/// Formats the medians over the seeds, with one line for each workload, load and policy.
 std::string format_table(const std::vector<result_row>& rows);
+/// Writes all rows and the units of the measures.
 void write_json(const std::vector<result_row>& rows, const std::string& file);
-/// One SVG a measure: bars of the medians by workload and policy.
+/// Writes one SVG file for each measure: a bar chart of the medians by workload and policy.
 void write_plots(const std::vector<result_row>& rows, const std::string& folder);
 
 } // namespace bamboostream::bench
--- a/bench/policy/simulation.cpp
+++ b/bench/policy/simulation.cpp
@@ -19,17 +19,21 @@
 using standins::model_event;
 using standins::model_job;
 
+/// Minimum delay of a message between instances, or between an instance and an engine; up to 0.5 ms
+/// of jitter is added.
 constexpr milliseconds one_way_delay{1};
 constexpr milliseconds dispatch_period{5};
 constexpr milliseconds poll_period{500};
+/// Ends and first tokens are reported in batches of this period: on average half of it late.
 constexpr milliseconds end_report_period{10};
 constexpr milliseconds progress_period{250};
 constexpr milliseconds fault_begin{20'000};
 constexpr milliseconds fault_end{40'000};
+/// How often a refused request is submitted again.
 constexpr int max_returns = 4;
 const time_point origin{seconds(1'000)};
 
-/// Events in order of time; equal times in order of scheduling.
+/// Simulated events, ordered by time and, at equal times, by when they were scheduled.
 class event_queue {
 public:
     void at(time_point when, std::function<void()> what) {
@@ -39,7 +43,7 @@
         if (events_.empty() || events_.top().when > until) {
             return false;
         }
-        // The top is moved out before it is popped, since running it may add events.
+        // Moved out and popped before it runs, because running it may add events.
         auto what = std::move(const_cast<event&>(events_.top()).what);
         now = events_.top().when;
         events_.pop();
@@ -60,7 +64,7 @@
     std::uint64_t next_ = 0;
 };
 
-/// One simulated run.
+/// The state of one simulated run.
 class simulation {
 public:
     simulation(const workload& w, const std::vector<simulated_request>& requests,
@@ -106,6 +110,7 @@
     }
 
 private:
+    /// A generation that was submitted to an engine.
     struct placed {
         std::size_t engine = 0;
         std::size_t scheduler = 0;
@@ -174,7 +179,8 @@
             found->second.tokens = e.sequence + 1;
             recorder_.token(e.id, e.at);
             if (e.sequence == 0 && uses_pool_scheduler()) {
-                // First tokens are told at once, as ends are.
+                // First tokens are reported without waiting for the next progress report, like
+                // ends.
                 generation_progress facts;
                 facts.id = e.id;
                 facts.tokens = 1;
@@ -292,7 +298,8 @@
                 dispatch(i);
             }
         }
-        // The instances of waiting requests ask again, as the real ones do.
+        // As in the real system, instances submit their waiting requests again periodically (every
+        // 140 ticks, 700 ms).
         if (++ticks_ % 140 == 0) {
             for (const auto& [id, index] : scheduler_of_) {
                 scheduler(index).submit(pending_.at(id), now_);
@@ -314,7 +321,7 @@
                   [this] { report_progress(); });
     }
 
-    // ---- Views of the engines
+    // ---- Engine reports and baseline policies
 
     void poll() {
         for (std::size_t i = 0; i < w_.engines; ++i) {
@@ -375,7 +382,7 @@
         return next;
     }
 
-    // ---- Trouble
+    // ---- Faults
 
     void schedule_fault() {
         const time_point from = origin + fault_begin;
@@ -410,7 +417,7 @@
         }
     }
 
-    /// An engine is gone at short notice; its generations end there for every policy alike.
+    /// Removes an engine without notice. Its generations end there under every policy.
     void reclaim(std::size_t engine) {
         alive_[engine] = false;
         std::vector<std::uint64_t> gone;
@@ -441,7 +448,8 @@
     std::vector<bool> alive_;
     std::vector<bool> step_scheduled_;
     std::vector<engine_report> reports_;
-    /// Index 0 is the pool's owner, the others are instances on their own.
+    /// Index 0 is the scheduler of the pool's owner; index i + 1 is the one that instance i uses
+    /// while it is cut off from the owner.
     std::vector<std::unique_ptr<pool_scheduler>> schedulers_;
     std::unordered_map<std::uint64_t, const simulated_request*> by_id_;
     std::unordered_map<std::uint64_t, placed> placed_;
--- a/bench/policy/simulation.h
+++ b/bench/policy/simulation.h
@@ -9,7 +9,9 @@
 
 namespace bamboostream::bench {
 
-/// The policies that are compared.
+/// The routing and admission policies that are compared. `bamboostream` and `oracle` use the real
+/// scheduler; the oracle also knows the output lengths and the current state of the engines, and
+/// its messages have no delay. The others only choose an engine.
 enum class policy_kind : std::uint8_t {
     round_robin,
     least_outstanding,
@@ -22,7 +24,7 @@
     "round_robin", "least_outstanding", "least_reported_memory",
     "two_choices", "bamboostream",      "oracle"};
 
-/// What one run measured, from the callers' point of view.
+/// The measures of one run, as observed by callers.
 struct run_measures {
     double preemptions_per_1000 = 0.0;
     double longest_silence_p99_ms = 0.0;
@@ -31,10 +33,10 @@
     double inter_token_p999_ms = 0.0;
     double inter_token_p9999_ms = 0.0;
     double first_token_p95_ms = 0.0;
-    /// Of the shortest kind of output.
+    /// Only of requests with the kind of output that is shorter in its deployment.
     double short_first_token_p999_ms = 0.0;
     double throughput_tokens_per_s = 0.0;
-    /// Among workspaces that ask for more than their fair share.
+    /// Jain's fairness index over the backlogged workspaces.
     double jain = 1.0;
     double largest_gap_tokens = 0.0;
     double refused_share = 0.0;
@@ -43,7 +45,7 @@
     double completed = 0.0;
 };
 
-/// A measure by name, for tables and JSON.
+/// Name and unit of a measure in tables, JSON and plots.
 struct measure_column {
     std::string_view name;
     std::string_view unit;
@@ -67,9 +69,9 @@
     measure_column{"completed", "1", &run_measures::completed},
 };
 
-/// Runs one pool of engine models under one policy, in simulated time handed to the real decision
-/// objects. Eight instances see the engines through lagging reports and each other through delayed
-/// messages.
+/// Runs one pool of engine models under one policy in simulated time, which is passed to the real
+/// decision objects. The instances (8 by default) observe the engines through lagging reports and
+/// each other through delayed messages.
 run_measures simulate(const workload& w, const std::vector<simulated_request>& requests,
                       policy_kind policy, std::uint64_t seed);
 
--- a/bench/policy/workload.cpp
+++ b/bench/policy/workload.cpp
@@ -12,6 +12,8 @@
 
 namespace {
 
+/// Prompt lengths (uniform) and output lengths (log-normal) of a kind of request, and the fraction
+/// of requests that have this kind.
 struct output_shape {
     std::string kind;
     double median;
@@ -21,7 +23,8 @@
     double share;
 };
 
-/// The registry drafts statements; the consortium writes short labels among long summaries.
+/// The kinds of requests of the two deployments: drafts of statements at the registry, short labels
+/// mixed with long summaries at the consortium.
 const std::vector<output_shape>& output_shapes(bool tail_latency) {
     static const std::vector<output_shape> registry = {
         {"draft", 160.0, 0.9, 100, 600, 0.8},
@@ -100,7 +103,7 @@
         simulated_request& r = out[i];
         r.id = seed * 10'000'000 + i + 1;
         const double u = uniform(random);
-        // In a rush two thirds of the minute's crowd come in its first fifth.
+        // In a rush, two thirds of the requests are moved into the first fifth of the run.
         const double position = w.rush && uniform(random) < 0.67 ? u / 5.0 : u;
         r.at = from_milliseconds(position * span * 1000.0);
         r.workspace = draw_workspace(w, random);
@@ -137,7 +140,7 @@
     }
     pool_capacity guess;
     guess.mean_output = sum / samples;
-    // Far more than the pool can serve: what comes out is its capacity.
+    // Far more than the pool can serve, so that the measured throughput is its capacity.
     guess.tokens_per_second = 3000.0 * static_cast<double>(w.engines);
     const auto requests = make_requests(plain, guess, 1.5, 1);
     const run_measures measured = simulate(plain, requests, policy_kind::oracle, 1);
--- a/bench/policy/workload.h
+++ b/bench/policy/workload.h
@@ -10,7 +10,7 @@
 
 namespace bamboostream::bench {
 
-/// One request of a workload, with the length that no policy but the oracle may look at.
+/// One request of a workload. Only the oracle may read `output_tokens`.
 struct simulated_request {
     std::uint64_t id = 0;
     std::size_t workspace = 0;
@@ -18,11 +18,13 @@
     std::string kind;
     std::uint32_t prompt_tokens = 0;
     std::uint32_t output_tokens = 0;
+    /// Identifies a shared prompt prefix; 0 for none.
     std::uint64_t prefix = 0;
+    /// Arrival, relative to the start of the run.
     duration at{0};
 };
 
-/// What goes wrong during a run.
+/// The fault that is injected during a run.
 enum class fault_kind : std::uint8_t {
     none,
     length_drift,
@@ -32,13 +34,16 @@
     instance_cut,
 };
 
-/// A deployment and what comes to it.
+/// A deployment and the load on it.
 struct workload {
     std::string name;
+    /// Selects the consortium's deployment and the tail latency objective instead of the registry's
+    /// and stall time.
     bool tail_latency = false;
     std::size_t engines = 10;
     std::size_t workspaces = 10;
     std::size_t instances = 8;
+    /// Most requests arrive in the first fifth of the run.
     bool rush = false;
     fault_kind fault = fault_kind::none;
     seconds length{60};
@@ -49,19 +54,22 @@
 /// The workloads of the two deployments, by name.
 std::vector<workload> all_workloads();
 
-/// Tokens a second that the pool of this workload can serve, and the mean output length, measured
-/// with the oracle on an endless queue.
+/// The throughput of a workload's pool and the mean output length. The throughput is measured with
+/// the oracle under an overload, so that requests are always waiting.
 struct pool_capacity {
     double tokens_per_second = 0.0;
     double mean_output = 0.0;
 };
+/// Measures the capacity without faults and rush. Thread-safe; results are cached by deployment and
+/// number of engines.
 pool_capacity measure_capacity(const workload& w);
 
-/// The seeded requests of one run at `load` times the capacity.
+/// Generates the requests of one run at `load` times the capacity, in order of arrival. The same
+/// seed yields the same requests.
 std::vector<simulated_request> make_requests(const workload& w, const pool_capacity& capacity,
                                              double load, std::uint64_t seed);
 
-/// Weight of a workspace; all are equal.
+/// The weight of every workspace.
 inline constexpr double workspace_weight = 1.0;
 
 } // namespace bamboostream::bench
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -1,4 +1,5 @@
-// Compares routing and admission policies over seeded workloads and writes a table, JSON and plots.
+// Compares routing and admission policies over seeded workloads. Prints a table and writes JSON and
+// plots.
 
 #include "bamboostream/Core"
 #include "bench/policy/report.h"
--- a/bench/stream_bench.cpp
+++ b/bench/stream_bench.cpp
@@ -1,5 +1,6 @@
-// What one instance costs a token and a stream, and what it adds in time, beside a bare TCP relay.
-// Plays the engine and the callers; the processes in the middle are started by tools/capacity.sh.
+// Measures the processor time per token, the memory per stream and the latency that one instance
+// adds, compared with a plain TCP relay. This program simulates the engine and the callers;
+// tools/capacity.sh starts the processes between them.
 
 #include "bamboostream/Contracts"
 #include "bamboostream/Core"
@@ -30,6 +31,7 @@
 
 const std::string caller_key = "bench-key";
 constexpr milliseconds request_timeout{10'000};
+/// After this many unpaced tokens a stream yields to the others.
 constexpr std::int64_t tokens_per_yield = 32;
 constexpr std::int64_t max_tokens_per_stream = 1'000'000;
 
@@ -51,12 +53,12 @@
         .count();
 }
 
-/// An engine that sends tokens at a set pace, each with the time at which it was sent.
+/// An engine that sends tokens at a fixed interval. Each token contains the time when it was sent.
 class paced_engine {
 public:
     explicit paced_engine(asio::io_context& context) : context_(context) {}
 
-    /// Time between two tokens of a stream; zero as fast as they are taken.
+    /// Time between two tokens of a stream; zero to send as fast as the connection accepts them.
     std::atomic<std::int64_t> token_interval_us{36'000};
     std::atomic<bool> stop{false};
 
@@ -84,7 +86,7 @@
     asio::awaitable<void> send_tokens(http_exchange& exchange, const std::string& id,
                                       std::int64_t number) {
         asio::steady_timer timer(context_);
-        // Streams don't tick together.
+        // Starts the streams at different offsets, so that they don't send at the same instants.
         timer.expires_after(microseconds((next_phase_ += 7'919) % 36'000));
         co_await timer.async_wait(asio::use_awaitable);
         time_point next = monotonic_now();
@@ -97,7 +99,8 @@
                            monotonic_ns());
             co_await exchange.write(line);
             if (interval_us == 0 && number % tokens_per_yield == 0) {
-                // A socket that always takes more must not keep the other streams waiting.
+                // Writes to a socket that never fills complete at once, so without this the stream
+                // would starve the others.
                 co_await asio::post(context_, asio::use_awaitable);
             }
             if (interval_us > 0) {
@@ -116,7 +119,8 @@
     std::int64_t next_phase_ = 0;
 };
 
-/// Reads streams and notes how long each token travelled.
+/// Callers that read streams and record the latency of each token. Runs on one thread, which owns
+/// `latency_ms`.
 class stream_clients {
 public:
     explicit stream_clients(asio::io_context& context) : context_(context) {}
@@ -175,13 +179,15 @@
     }
 
 public:
+    /// True if requests go to the engine, directly or through the relay. They then contain the
+    /// generation_id, which an instance would otherwise assign.
     bool direct_ = true;
 
 private:
     asio::io_context& context_;
 };
 
-/// Processor time of a process in seconds, and its resident memory in bytes.
+/// Accumulated processor time and resident memory of a process.
 struct process_usage {
     double cpu_seconds = 0.0;
     double resident_bytes = 0.0;
@@ -221,7 +227,7 @@
     return values[rank];
 }
 
-/// One path under one load.
+/// One measurement: a path under a load.
 struct phase {
     std::string name;
     std::string path;
@@ -282,7 +288,7 @@
         return response;
     }
 
-    /// Registers the engine, configures the instance and waits until it serves.
+    /// Registers the engine, configures the instance and checks after 3 s that it is ready.
     bool prepare() {
         const json::object machine{
             {"address", engine_address_}, {"kind", "engine"}, {"group", "bench"},
@@ -359,7 +365,7 @@
         rows_.push_back(row);
     }
 
-    /// Takes the travel times out on the thread that writes them.
+    /// Returns the recorded latencies and clears them, on the thread that records them.
     std::vector<float> take_latencies() {
         std::vector<float> out;
         std::atomic<bool> done{false};
--- a/standins/engine_model.cpp
+++ b/standins/engine_model.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 constexpr std::size_t max_cache_events = 4096;
+/// Minimum time between two recorded snapshots.
 constexpr milliseconds history_interval{20};
 } // namespace
 
@@ -76,7 +77,7 @@
 }
 
 void engine_model::admit_waiting() {
-    // Highest priority first, then in order of arrival.
+    // By priority, highest first, then by arrival.
     std::stable_sort(waiting_.begin(), waiting_.end(), [](const sequence& a, const sequence& b) {
         return a.job.priority != b.job.priority ? a.job.priority > b.job.priority
                                                 : a.order < b.order;
@@ -89,7 +90,7 @@
         }
         s.blocks = need;
         free_blocks_ -= need;
-        // A generation that was only set aside kept its cache; the others compute it again.
+        // In `wait` mode a preempted generation that has produced tokens keeps its cache.
         const bool cache_kept = parameters_.mode == preemption_mode::wait && s.produced > 0;
         s.to_prefill = cache_kept ? 0 : std::max(s.job.prompt_tokens + s.produced, 1U);
         if (touch_prefix(s.job) && s.to_prefill > 0) {
@@ -138,8 +139,8 @@
     waiting_.push_front(s);
 }
 
-/// Takes a block for the next token of `running_[index]`, pushing others out while there is none.
-/// False when the sequence itself had to go.
+/// Allocates a block for the next token of `running_[index]` if it needs one, preempting sequences
+/// until one is free. False if the sequence itself was preempted.
 bool engine_model::grow(std::size_t index, const sink& events) {
     const std::uint64_t id = running_[index].job.id;
     while (true) {
@@ -157,7 +158,7 @@
             ++self->blocks;
             continue;
         }
-        // The lowest priority goes, and among equals the one that came last.
+        // Preempts the lowest priority, and among equals the latest arrival.
         const auto victim = std::min_element(
             running_.begin(), running_.end(), [](const sequence& a, const sequence& b) {
                 return a.job.priority != b.job.priority ? a.job.priority < b.job.priority
--- a/standins/engine_model.h
+++ b/standins/engine_model.h
@@ -13,10 +13,11 @@
 
 namespace bamboostream::standins {
 
-/// What an engine does with a generation it pushes out when its memory is full.
+/// What an engine does with the KV cache of a generation that it preempts when its memory is full:
+/// `recompute` discards it, so that it is computed again; `wait` sets it aside and keeps it.
 enum class preemption_mode : std::uint8_t { recompute, wait };
 
-/// Size and speed of a modelled engine.
+/// Capacity and speed of a modelled engine.
 struct engine_parameters {
     std::uint32_t blocks = 1024;
     std::uint32_t block_tokens = 16;
@@ -24,49 +25,56 @@
     double step_base_ms = 12.0;
     double step_per_sequence_ms = 0.25;
     double prefill_ms_per_token = 0.04;
-    /// Prompt tokens processed in one step at most.
+    /// Upper limit of the prompt tokens that one step processes.
     std::uint32_t prefill_chunk = 512;
+    /// How old the state is that `engine_model::report` returns.
     milliseconds report_lag{250};
     preemption_mode mode = preemption_mode::recompute;
+    /// Size of the prefix cache, which evicts the least recently used prefix.
     std::uint32_t cached_prefixes = 64;
-    /// All times are multiplied by this; above one the engine is slow.
+    /// Multiplies the duration of every step; above 1 the engine is slower than normal.
     double slowness = 1.0;
 };
 
-/// A generation as the engine runs it.
+/// A generation as submitted to the engine.
 struct model_job {
     std::uint64_t id = 0;
     std::uint32_t prompt_tokens = 0;
-    /// The length that the caller never sees.
+    /// Number of tokens after which the generation finishes; not known to the caller in advance.
     std::uint32_t output_tokens = 1;
     priority_level priority = priority_level::standard;
+    /// Identifies a shared prompt prefix; 0 for none.
     std::uint64_t prefix = 0;
+    /// Prompt tokens that need no prefill when the prefix is cached.
     std::uint32_t prefix_tokens = 0;
-    /// Tokens whose cache memory was copied here from another engine; not computed again unless the
-    /// job is pushed out. Such a job is admitted before those that wait.
+    /// Tokens whose KV cache was copied from another engine; they need no prefill unless the job is
+    /// preempted. `submit` puts such a job at the front of the queue, which is then sorted by
+    /// priority and arrival.
     std::uint32_t carried_tokens = 0;
 };
 
-/// What happens to a job.
+/// A token, the end or a preemption of a job.
 struct model_event {
     enum class kind : std::uint8_t { token, finished, preempted };
     std::uint64_t id = 0;
     kind what = kind::token;
-    /// Number of the token, from 0.
+    /// Index of the token, from 0; of the next token for a preemption, 0 for the end.
     std::uint32_t sequence = 0;
     time_point at{};
 };
 
-/// A change of the prefix cache, published late and with gaps by the program around the model.
+/// A prefix that was stored in or evicted from the prefix cache. The stand-in engine publishes
+/// these events with a delay and with gaps.
 struct cache_event {
     std::uint64_t number = 0;
     std::uint64_t prefix = 0;
     bool stored = true;
 };
 
-/// A model of a continuously batching engine in pure time: steps whose length grows with the batch
-/// and with prefill, cache memory in blocks that fills as outputs grow, and preemption by priority
-/// when it is full. One class for the stand-in program and for the benchmarks.
+/// A model of an engine with continuous batching that runs on timestamps given by its user. The
+/// duration of a step grows with the batch size and with the prompt tokens prefilled in it; KV
+/// cache is allocated in blocks as outputs grow; when no block is free, a sequence is preempted by
+/// priority. Used by the stand-in engine, the tests and the benchmarks. Not thread-safe.
 ///
 /// Example: `model.submit(job, now); model.advance(later, [](const model_event& e) { … });`
 class engine_model {
@@ -76,14 +84,15 @@
     explicit engine_model(engine_parameters parameters);
 
     void submit(const model_job& job, time_point now);
+    /// Removes a waiting or running job; false if there is none with this id.
     bool cancel(std::uint64_t id);
-    /// Runs all steps that end at or before `now`.
+    /// Runs all steps that end at or before `now` and passes their events to `events`.
     void advance(time_point now, const sink& events);
-    /// When the step in progress ends; nothing while idle.
+    /// End of the step in progress; `nullopt` while the engine is idle.
     std::optional<time_point> next_step_end() const;
-    /// The state as it was `report_lag` ago.
+    /// The state as it was `report_lag` ago, or when the report was frozen.
     engine_report report(time_point now) const;
-    /// The state at this moment.
+    /// The state without the lag.
     engine_report report_now() const;
     std::uint64_t preemptions() const { return preemptions_; }
     std::uint64_t tokens_served() const { return tokens_served_; }
@@ -91,13 +100,14 @@
     std::size_t waiting() const { return waiting_.size(); }
     const std::deque<cache_event>& cache_events() const { return cache_events_; }
     void set_slowness(double factor) { parameters_.slowness = factor; }
+    /// While frozen, `report` returns the state that it returned when it was frozen.
     void set_report_frozen(bool frozen, time_point now);
 
 private:
     struct sequence {
         model_job job;
         std::uint32_t produced = 0;
-        /// Tokens whose cache must still be computed before the next output token.
+        /// Tokens to prefill before the next output token.
         std::uint32_t to_prefill = 0;
         std::uint32_t blocks = 0;
         std::uint64_t order = 0;
@@ -115,6 +125,8 @@
     void preempt(std::size_t index, const sink& events);
     void release(sequence& s);
     void record(time_point at);
+    /// Marks the prefix of `job` as most recently used, storing it if necessary; true if it was
+    /// cached.
     bool touch_prefix(const model_job& job);
 
     engine_parameters parameters_;
@@ -130,6 +142,7 @@
     std::deque<snapshot> history_;
     bool frozen_ = false;
     snapshot frozen_report_;
+    /// Cached prefixes, least recently used first.
     std::deque<std::uint64_t> prefixes_;
     std::deque<cache_event> cache_events_;
     std::uint64_t next_cache_event_ = 0;
--- a/standins/fault_proxy.cpp
+++ b/standins/fault_proxy.cpp
@@ -1,5 +1,5 @@
-// A TCP proxy between any two processes that delays, stalls, cuts, half-closes and loses answers
-// by command: `POST /control` on its second address.
+// A TCP proxy that injects network faults between two processes: it delays, stalls, discards,
+// freezes and closes. Faults are set with `POST /control` on its --listen address.
 
 #include "bamboostream/Contracts"
 #include "standins/standin_server.h"
@@ -21,18 +21,18 @@
 
 namespace {
 
-/// What the proxy does to the bytes.
+/// Faults that are in effect for all connections.
 struct proxy_faults {
     milliseconds delay{0};
-    /// Bytes wait in both directions until this is taken back.
+    /// No bytes are forwarded in either direction until this is reset.
     bool stalled = false;
-    /// Bytes from the server are read and thrown away: answers are lost.
+    /// Bytes from the server are discarded, so that responses are lost.
     bool lose_answers = false;
-    /// Bytes to the server are thrown away.
+    /// Bytes to the server are discarded, so that requests are lost.
     bool lose_requests = false;
-    /// New connections are closed at once.
+    /// New connections are closed immediately.
     bool refuse = false;
-    /// Close a connection after this many bytes of answers; 0 never.
+    /// A connection is closed after this many response bytes; 0 for never.
     std::int64_t cut_after = 0;
 };
 
@@ -41,7 +41,7 @@
     tcp::socket client;
     tcp::socket server;
     std::int64_t response_bytes = 0;
-    /// Nothing passes on this connection any more, and nobody is told.
+    /// Nothing is forwarded any more, but the connection stays open, as with a lost peer.
     bool frozen = false;
     void close() {
         error_code ec;
--- a/standins/standin_engine.cpp
+++ b/standins/standin_engine.cpp
@@ -1,6 +1,7 @@
-// A stand-in for a model engine around `engine_model`: serves generations as server-sent events
-// that can be resumed and cancelled, reports its load with a lag, publishes cache events late and
-// with gaps, takes placement orders, keeps a journal, and misbehaves as told by `POST /control`.
+// A stand-in for a model engine, based on `engine_model`. It streams generations as server-sent
+// events that can be resumed and cancelled, reports its load with a lag, publishes cache events
+// with a delay and with gaps, accepts placement orders and keeps a journal of its generations.
+// `POST /control` injects faults.
 
 #include "bamboostream/Contracts"
 #include "standins/engine_model.h"
@@ -27,14 +28,17 @@
 constexpr milliseconds keep_alive_period{500};
 constexpr milliseconds finished_retention{30'000};
 
-/// How this engine takes orders.
+/// How this engine carries out placement orders.
 struct order_options {
+    /// Rejects orders with a lower fencing number than an earlier order.
     bool fencing = true;
     milliseconds load_time{300};
+    /// Address from which weights are loaded; empty to load without a store.
     std::string weight_store;
 };
 
-/// One generation with all its tokens so far, so that it can be resumed from any number.
+/// A generation and the number of its tokens so far. Token texts are a function of the digest and
+/// the token's index, so a stream can be resumed from any index.
 struct generation {
     std::string id;
     std::string request_key;
@@ -57,13 +61,15 @@
     }
 };
 
+/// A log-normal distribution of output lengths, in tokens.
 struct length_distribution {
     double median = 0.0;
     double sigma = 0.0;
 };
 
-/// Output lengths by kind: log-normal, heavy tailed, drawn from the seed and the request's key so
-/// that a request has the same length wherever and whenever it runs.
+/// Draws an output length from the heavy-tailed distribution of `kind`. The random generator is
+/// seeded from `seed` and the request's key, so that a request has the same length on every engine
+/// and attempt.
 std::uint32_t draw_length(const std::string& kind, std::uint64_t seed, const std::string& key) {
     static const std::map<std::string, length_distribution> kinds = {
         {"label", {12.0, 0.5}}, {"summary", {220.0, 0.8}}, {"draft", {160.0, 0.9}},
@@ -164,7 +170,7 @@
     }
 
     asio::awaitable<void> cache_events(http_exchange& exchange) {
-        // Late (the newest are held back) and with gaps (every seventh is lost).
+        // Withholds the newest 4 events as a delay, and drops every seventh as a gap.
         const auto after =
             static_cast<std::uint64_t>(exchange.request().number_parameter("after", 0));
         json::array out;
@@ -283,8 +289,9 @@
         }
     }
 
-    /// Streams a generation from `from`; stays open until it ends. Every event says which
-    /// generation and number it is. Control may drop, double or swap events.
+    /// Streams the tokens of a generation from index `from` until it ends. Every event carries the
+    /// generation's id and the token's index. The `misbehave` fault adds foreign, repeated and
+    /// out-of-order events.
     asio::awaitable<void> stream(http_exchange& exchange, std::shared_ptr<generation> g,
                                  std::uint64_t from) {
         std::vector<http_field> fields = state_fields();
@@ -337,8 +344,8 @@
         };
         if (misbehave_ > 0 && number % 5 == 3) {
             --misbehave_;
-            event("ffffffffffffffffffffffffffffffff", number); // of another generation
-            event(g.id, number > 0 ? number - 1 : 0);          // a second time
+            event("ffffffffffffffffffffffffffffffff", number); // another generation
+            event(g.id, number > 0 ? number - 1 : 0);          // duplicate
             event(g.id, number + 2);                           // out of order
         }
         event(g.id, number);
@@ -349,7 +356,7 @@
         co_await timer.async_wait(asio::use_awaitable);
     }
 
-    /// False when nothing came for a keep-alive period.
+    /// False if the generation did not change for a keep-alive period.
     asio::awaitable<bool> wait_for_more(generation& g) {
         asio::steady_timer timer(context_, keep_alive_period);
         g.watchers.push_back(&timer);
--- a/standins/standin_log.cpp
+++ b/standins/standin_log.cpp
@@ -1,5 +1,6 @@
-// A stand-in for the platform's append-only log: streams of records in memory, with an append rate,
-// a retention time, and faults set by `POST /control`. docs/CONTRACTS.md describes its interface.
+// A stand-in for the platform's append-only log: in-memory streams of records with a limited append
+// rate and a retention time. `POST /control` injects faults. docs/CONTRACTS.md describes the
+// interface.
 
 #include "bamboostream/Contracts"
 #include "standins/standin_server.h"
@@ -17,16 +18,17 @@
 
 namespace {
 
+/// The retained records of a stream; `first` is the offset of the oldest.
 struct stream_data {
     std::int64_t first = 0;
     std::deque<log_record> records;
 };
 
-/// Faults that a test can switch on.
+/// Faults that are set with `POST /control`.
 struct log_faults {
     bool down = false;
     milliseconds delay{0};
-    /// Share of appends that take effect but whose answer is lost.
+    /// Fraction of appends that take effect but whose response is lost.
     double lose_answers = 0.0;
 };
 
@@ -60,6 +62,7 @@
         co_await timer.async_wait(asio::use_awaitable);
     }
 
+    /// Token bucket that holds a quarter of a second's appends; false if it is empty.
     bool consume_append_token() {
         const time_point now = monotonic_now();
         const double elapsed = std::chrono::duration<double>(now - refilled_).count();
@@ -89,7 +92,7 @@
             waiter->cancel();
         }
         if (std::uniform_real_distribution<>(0, 1)(random_) < faults_.lose_answers) {
-            // The record stands; the one who sent it does not learn so in time.
+            // The record is stored, but the response is withheld beyond the client's timeout.
             co_await sleep(milliseconds(30'000));
             co_return;
         }
--- a/standins/standin_platform.cpp
+++ b/standins/standin_platform.cpp
@@ -1,4 +1,5 @@
-// A stand-in for the platform: the lagging list of machines and the rate-limited weight store.
+// A stand-in for the platform: a list of machines whose changes become visible with a lag, and a
+// weight store with a limited rate of loads. `POST /control` injects faults.
 
 #include "bamboostream/Contracts"
 #include "standins/standin_server.h"
@@ -38,14 +39,15 @@
     }
 
 private:
-    /// A change of the list, visible once the lag has passed.
+    /// A change of the list that becomes visible at `visible_at`.
     struct pending_change {
         time_point visible_at{};
         std::string address;
         json::value machine;
     };
 
-    /// A machine was added or changed (body: the machine) or removed ("remove": true).
+    /// Adds or changes the machine in the request's body, or removes it if the body contains a
+    /// nonzero "remove". The change is visible after the lag, or immediately with a nonzero "now".
     asio::awaitable<void> change(http_exchange& exchange) {
         std::string why;
         const auto value = parse_json(exchange.request().body, why);
--- a/standins/standin_server.cpp
+++ b/standins/standin_server.cpp
@@ -31,7 +31,8 @@
 
 constexpr int exit_code_crashed = 70;
 
-/// Ends the process, without an answer to anyone, when a request holds the text for that.
+/// Wraps `handler` so that a request that contains `options.end_on` ends the process after
+/// `options.end_after`, without a response to the requests that are still open.
 http_handler with_crash_trigger(boost::asio::io_context& context, const standin_options& options,
                                 http_handler handler) {
     return [&context, &options, handler = std::move(handler)](http_exchange& exchange) {
--- a/standins/standin_service.cpp
+++ b/standins/standin_service.cpp
@@ -1,5 +1,5 @@
-// A stand-in for a plain service: runs any operation, keeps a journal of what it ran by key, and
-// misbehaves as told by `POST /control`.
+// A stand-in for a service without generations: accepts any operation and keeps a journal of the
+// executed operations with their idempotency keys. `POST /control` injects faults.
 
 #include "bamboostream/Contracts"
 #include "standins/standin_server.h"
--- a/test/engine_model_test.cpp
+++ b/test/engine_model_test.cpp
@@ -16,7 +16,8 @@
 };
 class memory_pressure_test : public testing::TestWithParam<memory_pressure_case> {};
 
-// Whatever is pushed out, every job ends with all its tokens, each once and in order.
+// Regardless of preemptions, every job finishes with all its tokens, each exactly once and in
+// order.
 TEST_P(memory_pressure_test, every_job_gets_all_its_tokens) {
     engine_parameters parameters;
     parameters.blocks = GetParam().blocks;
