--- a/tools/ablate.py
+++ b/tools/ablate.py
@@ -85,7 +85,7 @@
 
 
 def play(bench, folder, site, day, seed, why):
-    """The worth of one run; nothing when it couldn't be played."""
+    """Returns the worth of one run, or None if it could not be run."""
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         subprocess.run([bench, "run", site, day, "--seed", str(seed), "--no-cpu", "--jobs", "1",
                         "--report", report.name, "--why", why],
@@ -98,7 +98,7 @@
 
 
 def play_all(args, folder, why):
-    """Mean worth by deployment, and by each of its runs."""
+    """Returns the worths of the runs of each deployment."""
     runs = [(site, day, seed) for site, days in args.days for day in days for seed in args.seeds]
     with concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
         worths = list(pool.map(lambda r: play(args.bench, folder, *r, why), runs))
@@ -143,7 +143,7 @@
     scratch = pathlib.Path(tempfile.mkdtemp())
     folder = scratch / "copy"
     subprocess.run(["git", "clone", "-q", str(here), str(folder)], check=True)
-    # A mechanism that is off may leave names unused.
+    # Code that is left unused by a disabled mechanism must not fail the build.
     targets = folder / "cmake" / "BamboostreamTargets.cmake"
     targets.write_text(targets.read_text().replace(" -Werror", ""))
     if not build(args, folder):
--- a/tools/capacity.sh
+++ b/tools/capacity.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Measures the slopes that docs/CAPACITY.md is worked out from: the decision objects in one
-# process, and one instance carrying tokens beside a bare TCP relay.
+# Measures the costs from which the figures in docs/CAPACITY.md are derived: the decision objects in
+# one process, and token streams through one instance compared with a plain TCP relay.
 #
-# Usage: tools/capacity.sh [--out DIR]   writes DIR/decisions.json and DIR/streams.json
+# Usage: tools/capacity.sh [--out DIR]
+# Writes DIR/decisions.json and DIR/streams.json, and the printed tables as .txt files beside them.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 out=out/capacity
@@ -25,7 +26,7 @@
 "$bin/standin-platform" --announce-file "$run/platform" >/dev/null 2>&1 & pids+=($!)
 "$bin/bamboostreamd" --log "$(address log)" --platform "$(address platform)" --threads 1 \
   --announce-file "$run/instance" >/dev/null 2>&1 & pids+=($!); daemon=$!
-# The engine is played by the bench on a port that is free now; the relay goes to the same port.
+# stream-bench simulates the engine. The relay needs its address first, so a free port is chosen here.
 engine=127.0.0.1:$(python3 -c 'import socket; s=socket.socket(); s.bind(("127.0.0.1",0)); print(s.getsockname()[1])')
 "$bin/fault-proxy" --target "$engine" --announce-file "$run/relay_control" \
   --proxy-announce-file "$run/relay" >/dev/null 2>&1 & pids+=($!); relay=$!
--- a/tools/check_boundary.sh
+++ b/tools/check_boundary.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Fails when a header or field name of the users' platform occurs outside platform/ and its tests:
-# everything else speaks the product's own words.
+# Fails if a header or field name of the users' platform occurs outside platform/ and its tests. All
+# other code uses the names of this project and is independent of that platform.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 names='Response-Seal|Attempt-Id|Not-Executed|Kv-From|Kv-Backup|Kv-Fetch|kv-move|kv-handle|Prompt-Prefix'
--- a/tools/check_install.sh
+++ b/tools/check_install.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs a build into a temporary folder and builds an example against what was installed.
+# Installs a build into a temporary directory, then builds and runs an example against the installed
+# package: tools/check_install.sh BUILD_DIR
 set -euo pipefail
 build=$(cd "$1" && pwd)
 cd "$(dirname "$0")/.."
--- a/tools/fuzz.sh
+++ b/tools/fuzz.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds the fuzz target with clang's libFuzzer and sanitizers and runs it for a bounded time:
-# tools/fuzz.sh [SECONDS]
+# Builds the fuzz target with clang's libFuzzer and sanitizers and runs it for a limited time, 15
+# seconds by default: tools/fuzz.sh [SECONDS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seconds=${1:-15}
--- a/tools/install_packages.sh
+++ b/tools/install_packages.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that the build and the tests need. Needs root; does nothing when all
-# of them are there.
+# Installs the Debian packages that the build and the tests need. Requires root, unless all of them are
+# installed already.
 set -euo pipefail
 packages=(g++ cmake ninja-build curl python3 libboost1.81-dev libboost-json1.81-dev
   libflatbuffers-dev libfmt-dev libcli11-dev libxxhash-dev libzstd-dev libssl-dev libgtest-dev
--- a/tools/lost_worth.py
+++ b/tools/lost_worth.py
@@ -17,20 +17,20 @@
 import statistics
 import sys
 
-# What a late generation is still worth, as on the deployments' sheets (27 of 180, 26 of 170).
+# Fraction of its worth that a late generation keeps, from the deployments' sheets (27 of 180, 26 of 170).
 LATE_PART = 0.15
-# A long generation is worth so many briefs, as on the deployments' sheets (180 and 19).
+# Worth of a long generation relative to a brief one, from the deployments' sheets (180 and 19).
 BRIEFS_A_LONG_ONE = 9.0
-# Tokens in one event, as on the deployments' sheets.
+# Tokens per event, from the deployments' sheets.
 TOKENS_AN_EVENT = 4
-# A generation with more output than this is long; briefs put out some 12 tokens.
+# A generation with more output tokens than this is long; brief ones have about 12.
 LONG_TOKENS = 60
 
 FIELD = re.compile(r"(\w+)=(\S*)")
 
 
 def lines_of(path):
-    """Events as (time in ms, name, fields)."""
+    """Yields the log events of a file as (time in ms, name, fields)."""
     with open(path, encoding="utf-8", errors="replace") as source:
         for text in source:
             start = text.find('{"time_ms"')
@@ -44,7 +44,7 @@
 
 
 class Generation:
-    """One request to an engine, as its lines tell."""
+    """The log events of one request to an engine."""
 
     def __init__(self):
         self.sends = []
@@ -65,7 +65,7 @@
 
 
 class Run:
-    """All generations and engines of one run."""
+    """The generations of one run, and when its engines left."""
 
     def __init__(self, paths):
         self.generations = collections.defaultdict(Generation)
@@ -105,10 +105,11 @@
             g.left = (time, fields)
 
     def why_cut(self, g):
-        """The engine of the last send went or the stream broke off otherwise."""
+        """Returns why a stream was cut: its engine left, or the connection broke for another reason."""
         time, last = g.sends[-1]
         engine = last["backend"]
-        # Some engines never say that they leave: their entry goes, and they serve on as long.
+        # Some engines do not announce that they leave: their entry disappears, and they go on serving
+        # for as long as after a notice.
         notices = [known[engine] for known in (self.leaving, self.gone) if engine in known]
         notice = min(notices, default=None)
         end = g.end[0]
@@ -126,7 +127,7 @@
         return "cut: no move was tried before the engine went"
 
     def row(self, g):
-        """The cause of a loss; nothing when there was none."""
+        """Returns the cause of a loss, or None if the generation lost nothing."""
         if g.left:
             return "caller left"
         if g.end is None:
@@ -190,7 +191,7 @@
 
 
 def page(owed, rows, seconds):
-    """The same as one self-contained page."""
+    """Renders the tables as one self-contained HTML page."""
     most = max(seconds.values(), default=1.0)
     body = ["<h1>Where generations lost their worth</h1><table border=1 cellpadding=4>",
             "<tr><th>cause<th>long<th>brief<th>share of all worth"]
--- a/tools/prove.sh
+++ b/tools/prove.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Shows that the proofs can fail: switches one safeguard off at a time in a scratch copy, builds, and
-# runs the test that stands for it. A row is good when the test fails without the safeguard.
+# Mutation tests: disables one safeguard at a time in a scratch copy, builds it and runs the test that
+# covers the safeguard. A row passes if that test fails without the safeguard.
 #
 # Usage: tools/prove.sh [--only REGEX]
 set -uo pipefail
@@ -10,11 +10,11 @@
 trap 'rm -rf "$scratch"' EXIT
 git ls-files -co --exclude-standard | tar -cf - -T - | tar -xf - -C "$scratch"
 cd "$scratch"
-# A safeguard that is off may leave names unused.
+# Code that is left unused by a disabled safeguard must not fail the build.
 sed -i 's/ -Werror//' cmake/BamboostreamTargets.cmake
 cmake -S . -B build -G Ninja >/dev/null && ninja -C build >/dev/null || exit 1
 bad=0
-# name | file | text that is replaced | replacement | test (ctest pattern)
+# Arguments: name, file, text to replace, replacement, ctest pattern of the covering test.
 prove() {
   local name=$1 file=$2 from=$3 to=$4 test=$5
   [ -n "$only" ] && ! [[ $name =~ ^($only)$ ]] && return
--- a/tools/run_tests.sh
+++ b/tools/run_tests.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Runs all tests of a build folder. Tests listed in KNOWN-RED.txt may fail; they are printed.
+# Runs all tests of a build directory: tools/run_tests.sh [BUILD_DIR]. Tests listed in KNOWN-RED.txt
+# are printed and may fail.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${1:-build}
@@ -10,7 +11,7 @@
 fi
 pattern=$(IFS='|'; echo "${known[*]:-}")
 if [ -n "$pattern" ]; then
-  # Some are seeds that are played by hand.
+  # Entries may also be soak test seeds, which are run by hand and are not ctest tests.
   if ctest --test-dir "$build" -N -R "^($pattern)\$" | grep -q 'Test *#'; then
     ctest --test-dir "$build" -j 4 --output-on-failure -R "^($pattern)\$" || true
   fi
--- a/tools/soak.sh
+++ b/tools/soak.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Runs the fault tables again and again: tools/soak.sh --seeds N --minutes M [--filter REGEX]
-# Every run draws new keys, and with them new lengths, homes and owners. Stops at the first failure.
-# With --gateway A-B it plays overlapping faults against real gateways instead, with the seeds A to
-# B, each for --length S seconds; a seed that fails is printed with its steps, and its logs are kept.
+# Runs the fault tests repeatedly: tools/soak.sh --seeds N --minutes M [--filter GTEST_FILTER]
+# Every run draws new keys and therefore other output lengths, home instances and owners. Stops at the
+# first failure.
+# With --gateway A-B it injects overlapping faults into real gateways instead, with the seeds A to B,
+# each for --length S seconds. A failing seed is printed with its steps, and its logs are kept.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 gateway='' length=8
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what is needed, builds everything and runs all tests.
+# Installs the required packages, builds everything and runs all tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/install_packages.sh
--- a/tools/test_console.sh
+++ b/tools/test_console.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Tries the operators' console in headless Chromium. Not part of CI: it installs a browser.
+# Tests the operators' console in headless Chromium. Not part of CI, because it installs a browser.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 if [ ! -x /usr/bin/chromedriver ]; then
--- a/tools/try.sh
+++ b/tools/try.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Brings the whole path up as separate processes, sends a rush of generations and service calls
-# through it, prints the table of figures and stops everything it started. Exit 0 when every
-# promise was kept.
+# Starts a complete deployment as separate processes, sends a burst of generations and service calls
+# through it, prints a table of results and stops all processes. The exit code is 0 if all guarantees
+# held.
 #
 # Usage: tools/try.sh [--registry|--consortium] [--generations N] [--instances N] [--engines N]
 set -euo pipefail
@@ -78,7 +78,7 @@
 join() { local IFS=,; echo "$*"; }
 operators=$(join "${operator_list[@]}")
 "$bin/bamboostreamctl" --operators "$operators" config submit "examples/$example.json"
-sleep 3 # instances find each other and the backend servers
+sleep 3 # until the instances have discovered each other and the backend servers
 version=$("$bin/bamboostreamctl" --operators "$operators" config show | sed 's/[^0-9]*\([0-9]*\).*/\1/')
 "$bin/bamboostreamctl" --operators "$operators" config wait "$version"
 "$bin/bamboostream-load" --entries "$(join "${entry_list[@]}")" --workspaces "$workspaces" \
