--- a/standins/standin_log.cpp
+++ b/standins/standin_log.cpp
@@ -1,5 +1,6 @@
-// A stand-in for the platform's append-only log: streams of records in memory, with an append rate,
-// a retention time, and faults set by `POST /control`. docs/CONTRACTS.md describes its interface.
+// A stand-in for the platform's append-only log: in-memory streams of records with a limited append
+// rate and a retention time. `POST /control` injects faults. docs/CONTRACTS.md describes the
+// interface.
 
 #include "bamboostream/Contracts"
 #include "standins/standin_server.h"
@@ -17,16 +18,17 @@
 
 namespace {
 
+/// The retained records of a stream; `first` is the offset of the oldest.
 struct stream_data {
     std::int64_t first = 0;
     std::deque<log_record> records;
 };
 
-/// Faults that a test can switch on.
+/// Faults that are set with `POST /control`.
 struct log_faults {
     bool down = false;
     milliseconds delay{0};
-    /// Share of appends that take effect but whose answer is lost.
+    /// Fraction of appends that take effect but whose response is lost.
     double lose_answers = 0.0;
 };
 
@@ -35,7 +37,8 @@
     log_server(asio::io_context& context, std::int64_t rate, milliseconds retention,
                std::int64_t seed)
         : context_(context), rate_(static_cast<double>(rate)), retention_(retention),
-          random_(static_cast<std::uint64_t>(seed)), allowance_(static_cast<double>(rate) / 4) {}
+          random_(static_cast<std::uint64_t>(seed)), append_tokens_(static_cast<double>(rate) / 4) {
+    }
 
     asio::awaitable<void> handle(http_exchange& exchange) {
         const http_request& request = exchange.request();
@@ -59,20 +62,21 @@
         co_await timer.async_wait(asio::use_awaitable);
     }
 
-    bool take_allowance() {
+    /// Token bucket that holds a quarter of a second's appends; false if it is empty.
+    bool consume_append_token() {
         const time_point now = monotonic_now();
         const double elapsed = std::chrono::duration<double>(now - refilled_).count();
-        allowance_ = std::min(rate_ / 4, allowance_ + elapsed * rate_);
+        append_tokens_ = std::min(rate_ / 4, append_tokens_ + elapsed * rate_);
         refilled_ = now;
-        if (allowance_ < 1.0) {
+        if (append_tokens_ < 1.0) {
             return false;
         }
-        allowance_ -= 1.0;
+        append_tokens_ -= 1.0;
         return true;
     }
 
     asio::awaitable<void> append(http_exchange& exchange, std::string name) {
-        if (!take_allowance()) {
+        if (!consume_append_token()) {
             ++refused_;
             co_await exchange.respond_json(429, R"({"error":{"code":"too_many_appends"}})");
             co_return;
@@ -88,7 +92,7 @@
             waiter->cancel();
         }
         if (std::uniform_real_distribution<>(0, 1)(random_) < faults_.lose_answers) {
-            // The record stands; the one who sent it does not learn so in time.
+            // The record is stored, but the response is withheld beyond the client's timeout.
             co_await sleep(milliseconds(30'000));
             co_return;
         }
@@ -168,7 +172,7 @@
     double rate_;
     milliseconds retention_;
     std::mt19937_64 random_;
-    double allowance_;
+    double append_tokens_;
     time_point refilled_ = monotonic_now();
     std::map<std::string, stream_data> streams_;
     std::vector<asio::steady_timer*> waiters_;
--- a/standins/standin_platform.cpp
+++ b/standins/standin_platform.cpp
@@ -1,4 +1,5 @@
-// A stand-in for the platform: the lagging list of machines and the rate-limited weight store.
+// A stand-in for the platform: a list of machines whose changes become visible with a lag, and a
+// weight store with a limited rate of loads. `POST /control` injects faults.
 
 #include "bamboostream/Contracts"
 #include "standins/standin_server.h"
@@ -38,14 +39,15 @@
     }
 
 private:
-    /// A change of the list, visible once the lag has passed.
-    struct pending {
+    /// A change of the list that becomes visible at `visible_at`.
+    struct pending_change {
         time_point visible_at{};
         std::string address;
         json::value machine;
     };
 
-    /// A machine was added or changed (body: the machine) or removed ("remove": true).
+    /// Adds or changes the machine in the request's body, or removes it if the body contains a
+    /// nonzero "remove". The change is visible after the lag, or immediately with a nonzero "now".
     asio::awaitable<void> change(http_exchange& exchange) {
         std::string why;
         const auto value = parse_json(exchange.request().body, why);
@@ -61,8 +63,8 @@
 
     void apply_due() {
         const time_point now = monotonic_now();
-        std::deque<pending> later;
-        for (pending& p : pending_) {
+        std::deque<pending_change> later;
+        for (pending_change& p : pending_) {
             if (p.visible_at > now) {
                 later.push_back(std::move(p));
             } else if (number_at(p.machine, "remove") != 0) {
@@ -113,7 +115,7 @@
     milliseconds lag_;
     std::int64_t weight_rate_;
     std::map<std::string, json::value> machines_;
-    std::deque<pending> pending_;
+    std::deque<pending_change> pending_;
     std::deque<time_point> loads_;
     std::int64_t weights_refused_ = 0;
     bool down_ = false;
