--- a/test/platform/evacuation_test.cpp
+++ b/test/platform/evacuation_test.cpp
@@ -1,4 +1,4 @@
-// Evacuation against a scripted mover, without a network.
+// The evacuation service with a scripted mover and scripted peers, without a network.
 
 #include "bamboostream/Evacuation"
 #include "bamboostream/src/Control/async_wait.h"
@@ -20,11 +20,12 @@
     bool last = false;
 };
 
-/// Answers moves as told; each takes a while, as copies do.
+/// Records moves and answers them with scripted results. Each move takes 5 ms, so that moves
+/// overlap as real copies do.
 class scripted_mover final : public generation_mover {
 public:
     asio::awaitable<std::optional<bool>> is_leaving(std::string engine, milliseconds) override {
-        ++questions_;
+        ++leaving_queries_;
         co_return engine == leaving_;
     }
 
@@ -32,10 +33,10 @@
                                                      std::string target, bool last, milliseconds,
                                                      move_failure& why) override {
         calls_.push_back({source, generation, target, last});
-        const int users = ++receiving_[target];
-        most_at_one_target_ = std::max(most_at_one_target_, users);
+        const int concurrent_moves = ++active_moves_[target];
+        max_moves_per_target_ = std::max(max_moves_per_target_, concurrent_moves);
         co_await pause_for(milliseconds(5));
-        --receiving_[target];
+        --active_moves_[target];
         if (on_copied_) {
             on_copied_(target, last);
         }
@@ -49,25 +50,25 @@
     }
 
     std::string leaving_;
-    int questions_ = 0;
+    int leaving_queries_ = 0;
     std::vector<move_call> calls_;
     std::map<std::string, move_error> errors_;
     std::function<void(const std::string& target, bool last)> on_copied_;
     bool not_copied_ = false;
-    int most_at_one_target_ = 0;
+    int max_moves_per_target_ = 0;
 
 private:
-    std::map<std::string, int> receiving_;
+    std::map<std::string, int> active_moves_;
 };
 
-struct told_move {
+struct sent_notice {
     std::string generation;
     move_notice notice;
 };
 
 class scripted_peers final : public evacuation_peers {
 public:
-    bool coordinates(const service_id&) const override { return drives_; }
+    bool coordinates(const service_id&) const override { return coordinates_; }
     asio::awaitable<std::vector<move_candidate>> collect_movable(backend_id backend) override {
         std::vector<move_candidate> out;
         for (const auto& [generation, at] : running_) {
@@ -79,13 +80,13 @@
     }
     void send_move_notice(const std::string&, const std::string& generation,
                           const move_notice& notice) override {
-        told_.push_back({generation, notice});
+        notices_.push_back({generation, notice});
         running_.erase(generation);
     }
 
-    bool drives_ = true;
+    bool coordinates_ = true;
     std::map<std::string, backend_id> running_;
-    std::vector<told_move> told_;
+    std::vector<sent_notice> notices_;
 };
 
 class evacuation_test : public testing::Test {
@@ -135,14 +136,14 @@
     ASSERT_EQ(mover_.calls_.size(), 2u);
     EXPECT_FALSE(mover_.calls_[0].last);
     EXPECT_TRUE(mover_.calls_[1].last);
-    ASSERT_EQ(peers_.told_.size(), 1u);
-    EXPECT_EQ(peers_.told_[0].notice.copy.handle, "g1-last");
-    EXPECT_EQ(peers_.told_[0].notice.copy.holder, "10.0.0.1:80");
-    EXPECT_EQ(peers_.told_[0].notice.target_address, mover_.calls_[0].target);
+    ASSERT_EQ(peers_.notices_.size(), 1u);
+    EXPECT_EQ(peers_.notices_[0].notice.copy.handle, "g1-last");
+    EXPECT_EQ(peers_.notices_[0].notice.copy.holder, "10.0.0.1:80");
+    EXPECT_EQ(peers_.notices_[0].notice.target_address, mover_.calls_[0].target);
 }
 
-// Two engines leave at once. A copy that shares its target's link with another takes as long as
-// both, and the last part, for which the stream stands still, waits behind it.
+// Two engines leave at once. Copies that share the link of one target take as long as both
+// together, and the final copy, during which the stream is paused, would wait behind the other one.
 TEST_F(evacuation_test, engines_that_leave_together_never_copy_to_one_target) {
     for (int i = 0; i < 6; ++i) {
         peers_.running_[fmt::format("g{}", i)] = backend_id(i % 2 == 0 ? "i-1" : "i-2");
@@ -150,16 +151,16 @@
     leave("i-1");
     leave("i-2");
     run_for(milliseconds(150));
-    EXPECT_EQ(peers_.told_.size(), 6u);
-    EXPECT_EQ(mover_.most_at_one_target_, 1);
+    EXPECT_EQ(peers_.notices_.size(), 6u);
+    EXPECT_EQ(mover_.max_moves_per_target_, 1);
 }
 
-/// How the engine's death or refusal shows in the two steps of a move.
+/// A failure in one of the two steps of a move.
 struct step_row {
     std::string name;
     std::string step;
     move_error error;
-    /// The handle that the stream's instance is told of; empty when none.
+    /// The handle in the move notice; empty when no notice is sent.
     std::string handle;
     std::size_t calls;
 };
@@ -169,7 +170,7 @@
 INSTANTIATE_TEST_SUITE_P(
     table, failed_step,
     testing::Values(
-        // The engine goes after the first copy: the stream goes on from that copy.
+        // The engine ends after the first copy: the stream continues from that copy.
         step_row{"gone_after_the_copy", "g1/last", move_error::unreachable, "g1-first", 2},
         step_row{"gone_during_the_copy", "g1/first", move_error::unreachable, "", 1},
         step_row{"ended_meanwhile", "g1/last", move_error::not_running, "", 2},
@@ -182,23 +183,24 @@
     leave("i-1");
     run_for(milliseconds(60));
     EXPECT_EQ(mover_.calls_.size(), GetParam().calls);
-    const std::string told = peers_.told_.empty() ? "" : peers_.told_[0].notice.copy.handle;
-    EXPECT_EQ(told, GetParam().handle);
+    const std::string notified_handle =
+        peers_.notices_.empty() ? "" : peers_.notices_[0].notice.copy.handle;
+    EXPECT_EQ(notified_handle, GetParam().handle);
 }
 
-// The target refuses the rest after the source has stopped the generation. The source still has its
-// memory, so the stream goes on there.
+// The target refuses the final copy after the source has stopped the generation. The source still
+// has the generation's memory, so the stream continues there.
 TEST_F(evacuation_test, a_generation_whose_rest_was_refused_goes_on_at_its_source) {
     peers_.running_ = {{"g1", backend_id("i-1")}};
     mover_.not_copied_ = true;
     leave("i-1");
     run_for(milliseconds(60));
-    ASSERT_EQ(peers_.told_.size(), 1u);
-    EXPECT_EQ(peers_.told_[0].notice.target, backend_id("i-1"));
+    ASSERT_EQ(peers_.notices_.size(), 1u);
+    EXPECT_EQ(peers_.notices_[0].notice.target, backend_id("i-1"));
 }
 
-// The same in a failure domain that is out of service, where no request may be sent any more: the
-// stream goes on from the first copy, which lacks the tokens of the last moments only.
+// As above, but the source is in a cordoned failure domain, to which no request may be sent. The
+// stream continues from the first copy, which lacks only the most recent tokens.
 TEST_F(evacuation_test, a_generation_does_not_go_back_into_a_cordoned_domain) {
     peers_.running_ = {{"g1", backend_id("i-1")}};
     mover_.not_copied_ = true;
@@ -208,13 +210,14 @@
     state_.registry.set_cordoned({failure_domain_id("norra")});
     leave("i-1");
     run_for(milliseconds(60));
-    ASSERT_EQ(peers_.told_.size(), 1u);
-    EXPECT_EQ(peers_.told_[0].notice.target, backend_id("i-5"));
-    EXPECT_EQ(peers_.told_[0].notice.copy.handle, "g1-first");
+    ASSERT_EQ(peers_.notices_.size(), 1u);
+    EXPECT_EQ(peers_.notices_[0].notice.target, backend_id("i-5"));
+    EXPECT_EQ(peers_.notices_[0].notice.copy.handle, "g1-first");
 }
 
-// The store is away, so nobody hears that an engine leaves. The owner asks the engines themselves
-// and moves their generations; with the store there it asks nobody, since each question costs.
+// While the store is unavailable, no instance is notified that an engine leaves. The owner polls
+// the engines instead and moves the generations of those that leave. While the store is available
+// it doesn't poll, because each query has a cost.
 TEST_F(evacuation_test, engines_are_asked_only_while_the_store_is_away) {
     state_.on_registry_change = [this] {
         for (const registry_change& change : state_.registry.take_changes()) {
@@ -227,51 +230,52 @@
     mover_.leaving_ = "10.0.0.1:80";
     service_.start();
     run_for(milliseconds(500));
-    EXPECT_EQ(mover_.questions_, 0);
+    EXPECT_EQ(mover_.leaving_queries_, 0);
     state_.registry.store_failed(monotonic_now());
     run_for(milliseconds(600));
-    EXPECT_GT(mover_.questions_, 0);
-    EXPECT_EQ(peers_.told_.size(), 1u);
+    EXPECT_GT(mover_.leaving_queries_, 0);
+    EXPECT_EQ(peers_.notices_.size(), 1u);
 }
 
-// Engines leave in series: the target of a copy says that it leaves while the copy is under way. To
-// stop the generation then would send its stream to an engine on its way out, up to three seconds
-// after its word, and it would be cut there. It runs on at its source and moves elsewhere.
+// Engines leave one after another: the target of a copy announces that it leaves during the copy.
+// If the generation were stopped then, its stream would reach a leaving engine up to three seconds
+// after the announcement and be interrupted there. It keeps running at its source and moves to
+// another target.
 TEST_F(evacuation_test, a_target_that_begins_to_leave_is_given_up_before_the_stream_stops) {
     peers_.running_ = {{"g1", backend_id("i-1")}};
-    std::string left;
+    std::string leaving_target;
     mover_.on_copied_ = [&](const std::string& target, bool) {
-        if (left.empty()) {
-            left = target;
+        if (leaving_target.empty()) {
+            leaving_target = target;
             state_.registry.mark_leaving(backend_id("i-" + target.substr(7, 1)));
         }
     };
     leave("i-1");
     run_for(milliseconds(60));
-    ASSERT_EQ(peers_.told_.size(), 1u);
-    EXPECT_NE(peers_.told_[0].notice.target_address, left);
+    ASSERT_EQ(peers_.notices_.size(), 1u);
+    EXPECT_NE(peers_.notices_[0].notice.target_address, leaving_target);
     for (const move_call& call : mover_.calls_) {
-        EXPECT_FALSE(call.last && call.target == left);
+        EXPECT_FALSE(call.last && call.target == leaving_target);
     }
 }
 
-// Another instance evacuates the engine and dies in the middle. Its engine still lives; the next
-// owner moves the generations that are left, and their callers notice nothing.
+// The instance that evacuates an engine dies before it has finished, while the engine still runs.
+// The next owner moves the remaining generations, without an interruption for their callers.
 TEST_F(evacuation_test, the_next_owner_takes_over_from_a_dead_one) {
-    peers_.drives_ = false;
+    peers_.coordinates_ = false;
     peers_.running_ = {{"g1", backend_id("i-1")}};
     service_.start();
     leave("i-1");
     run_for(milliseconds(500));
     EXPECT_TRUE(mover_.calls_.empty());
-    peers_.drives_ = true;
+    peers_.coordinates_ = true;
     run_for(milliseconds(600));
-    ASSERT_EQ(peers_.told_.size(), 1u);
-    EXPECT_EQ(peers_.told_[0].notice.copy.handle, "g1-last");
+    ASSERT_EQ(peers_.notices_.size(), 1u);
+    EXPECT_EQ(peers_.notices_[0].notice.copy.handle, "g1-last");
 }
 
 TEST_F(evacuation_test, only_the_owner_drives) {
-    peers_.drives_ = false;
+    peers_.coordinates_ = false;
     peers_.running_ = {{"g1", backend_id("i-1")}};
     leave("i-1");
     run_for(milliseconds(30));
--- a/test/platform/forwarding_fixture.h
+++ b/test/platform/forwarding_fixture.h
@@ -12,7 +12,7 @@
 
 namespace bamboostream::test {
 
-/// What a caller saw of one request.
+/// What the caller received in response to one request.
 struct caller_view {
     std::string bytes;
     bool closed = false;
@@ -20,13 +20,14 @@
 
     int status() const;
     std::string field(const std::string& name) const;
-    /// The body with its chunks joined.
+    /// The body with chunked encoding removed.
     std::string body() const;
-    /// True when the answer looks complete by its framing.
+    /// True when the response is complete by its Content-Length or chunked framing.
     bool complete() const;
 };
 
-/// A forwarding instance on loopback with scripted backend servers, all on one thread.
+/// A forwarding instance on loopback with scripted backend servers and callers. Everything runs on
+/// one thread, and only inside finish() and run_for().
 class forwarding_fixture {
 public:
     forwarding_fixture();
@@ -37,19 +38,21 @@
     /// Registers a scripted backend server of the service "calls" or "engines".
     scripted_backend& add(const std::string& id, backend_script script,
                           const std::string& service = "calls");
-    /// The server with that id registers anew, since a later life of it has begun.
+    /// Registers a new incarnation of the server with that id, at the address of the server that
+    /// was added last.
     void note_start(const std::string& id, std::int64_t started_ms);
-    /// Registers an address behind which nobody listens.
+    /// Registers a backend server whose address refuses connections.
     void add_dead(const std::string& id);
-    /// Changes a route before requests are sent.
+    /// Returns a route for modification; the change takes effect when the fixture runs next.
     route_rule& route(const std::string& name);
-    /// Sends a request whose target names the route, on a connection of its own.
+    /// Sends a request for the route on a new connection. `id` is its Attempt-Id; each line of
+    /// `more_fields` ends in CRLF.
     std::shared_ptr<caller_view> ask(const std::string& route, const std::string& id,
                                      const std::string& more_fields = "",
                                      const std::string& body = "body");
     /// The caller closes its connection.
     void leave(const std::shared_ptr<caller_view>& view);
-    /// Runs until the caller has its answer or the connection is closed.
+    /// Runs until the response is complete, the connection is closed or `limit` has passed.
     void finish(const std::shared_ptr<caller_view>& view, milliseconds limit = milliseconds(3'000));
     void run_for(milliseconds time);
     forwarding_state& state() { return *state_; }
@@ -69,17 +72,17 @@
     std::vector<std::shared_ptr<caller>> callers_;
 };
 
-/// A whole answer of a backend server to the request on this connection.
+/// A complete response with a seal to the request on this connection.
 std::string sealed_answer(const scripted_connection& connection, const std::string& body,
                           int status = 200);
-/// A server that answers every request with this body.
+/// A script that answers every request with status 200 and this body.
 backend_script answering(const std::string& body);
-/// The head of a chunked stream of events.
+/// The response head of a chunked event stream.
 std::string stream_head(const scripted_connection& connection);
-/// Events from `first` to `last`, each in a chunk of its own.
+/// The events from `first` to `last` inclusive, each encoded as one chunk.
 std::string stream_events(int first, int last);
 inline constexpr const char* stream_end = "0\r\n\r\n";
-/// What the caller gets of such events.
+/// The same events as the caller receives them, without chunked encoding.
 std::string events_text(int first, int last);
 
 } // namespace bamboostream::test
--- a/test/platform/forwarding_test.cpp
+++ b/test/platform/forwarding_test.cpp
@@ -1,4 +1,4 @@
-// Requests through a forwarding instance to backend servers that misbehave.
+// Forwarding of requests and streams to backend servers that misbehave, fail or leave.
 
 #include "test/platform/forwarding_fixture.h"
 
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// One way in which a backend server goes wrong. Printed by its name.
+/// A fault of a backend server, printed by its name.
 struct misbehaviour {
     std::string name;
     backend_script script;
-    /// What the caller of a request that must run once is told.
+    /// The status for the caller when the request must run at most once.
     int once_status;
 };
 
@@ -104,9 +104,10 @@
 
 INSTANTIATE_TEST_SUITE_P(table, misbehaving_backend, testing::ValuesIn(misbehaviours()), name_of);
 
-// The caller of a request that must run once gets one honest answer: "not run" (503, with a time to
-// come back) only where the backend server said so, else that the fate is unknown or the server's
-// own failure. The second server never sees the request, because the first may have run it.
+// A request that must run at most once is sent to one server only, because that server may have run
+// it. The caller gets 503 with Retry-After ("not run") only when the backend server reported that
+// it didn't run the request; otherwise the response says that the outcome is unknown, or is the
+// server's own failure response.
 TEST_P(misbehaving_backend, a_request_that_runs_once_is_sent_once) {
     forwarding_fixture f;
     scripted_backend& bad = f.add("i-1", GetParam().script);
@@ -118,8 +119,8 @@
     EXPECT_EQ(view->field("Response-Seal").empty(), GetParam().once_status != 500);
 }
 
-// The caller of a request that may be repeated sees nothing of the fault: the request goes to
-// another server and that server's answer comes back.
+// A repeatable request is retried at another server, whose response is returned; the fault is
+// invisible to the caller.
 TEST_P(misbehaving_backend, a_repeatable_request_goes_to_another_server) {
     forwarding_fixture f;
     const backend_script bad = GetParam().script;
@@ -161,8 +162,8 @@
     }
 }
 
-// The server sends bytes after its complete answer. They would be taken for the answer to the next
-// request on that connection, so the connection is not used again.
+// The server sends extra bytes after a complete response. On a reused connection they would be
+// taken for the response to the next request, so the connection must not be reused.
 TEST(forwarding, a_connection_with_surplus_bytes_is_not_used_again) {
     forwarding_fixture f;
     scripted_backend& backend = f.add("i-1", [](scripted_connection& c) -> asio::awaitable<void> {
@@ -186,8 +187,8 @@
     EXPECT_EQ(backend.requests().size(), 3u);
 }
 
-// The caller closes while the backend server is at work. The work would go on for nobody, so the
-// connection to the server is closed at once.
+// The caller disconnects while the backend server processes its request. The result has no receiver
+// any more, so the connection to the server is closed at once.
 TEST(forwarding, work_for_a_caller_that_has_left_ends) {
     forwarding_fixture f;
     scripted_backend& backend = f.add("i-1", [](scripted_connection& c) -> asio::awaitable<void> {
@@ -221,7 +222,7 @@
     EXPECT_EQ(view->field("Response-Seal"), "s");
 }
 
-/// One way in which a stream that must run once ends too early.
+/// How a stream that must run at most once ends prematurely.
 struct early_end {
     std::string name;
     std::string tail;
@@ -237,8 +238,8 @@
                                          early_end{"with_a_gap", stream_events(4, 5), false}),
                          [](const auto& info) { return info.param.name; });
 
-// The server stops in the middle. The caller gets the whole events that came, and a connection that
-// closes without the end of the answer, so that nobody takes it for complete.
+// The server stops in the middle of a stream. The caller gets the complete events received so far,
+// and its connection closes without the final chunk, so the response can't be taken for complete.
 TEST_P(broken_stream, never_looks_complete) {
     forwarding_fixture f;
     const early_end row = GetParam();
@@ -261,8 +262,8 @@
     EXPECT_EQ(backend.requests().size(), 1u);
 }
 
-// A stream that may be taken up is cut; another server goes on after the last event that the caller
-// has, repeats one, and the caller sees one answer without a seam.
+// A resumable stream breaks off in the middle of an event. Another server resumes it after the last
+// event that the caller has and repeats that event; the caller gets every event exactly once.
 TEST(forwarding, a_resumable_stream_goes_on_at_another_server) {
     forwarding_fixture f;
     bool second_is_listed = false;
@@ -295,8 +296,9 @@
     EXPECT_NE(second.requests().front().find("\r\nLast-Event-Id: 2\r\n"), std::string::npos);
 }
 
-/// A stream of three events whose source goes on until it is told to stop, and the engine to which
-/// its generation is copied. The caller has the events when it is made.
+/// A stream whose source engine sends events 0 to 3 and then holds the connection open until
+/// `source_stops`, and the target engine to which its generation is copied. The constructor returns
+/// once the caller has received these events.
 class moving_stream {
 public:
     moving_stream() {
@@ -304,7 +306,7 @@
             "i-1",
             [this](scripted_connection& c) -> asio::awaitable<void> {
                 co_await c.send(stream_head(c) + stream_events(0, 3));
-                while (!stops) {
+                while (!source_stops) {
                     co_await c.pause(1);
                 }
                 c.close();
@@ -328,12 +330,12 @@
     }
 
     forwarding_fixture fixture;
-    bool stops = false;
+    bool source_stops = false;
     std::shared_ptr<caller_view> view;
     scripted_backend* target = nullptr;
 };
 
-/// How the news of a move and the end of the stream at its source follow each other.
+/// Whether the move notice arrives before or after the stream ends at its source.
 struct move_row {
     std::string name;
     bool notice_first;
@@ -346,18 +348,18 @@
                                          move_row{"end_first", false}),
                          [](const auto& info) { return info.param.name; });
 
-// An engine leaves, its generation is copied elsewhere and its stream stops without an end. The
-// news of where it goes on may come before or after that; the caller sees one answer without a
-// seam, and the new engine is asked with the copy's handle and the last event.
+// An engine leaves: its generation is copied to another engine, and its stream stops without the
+// final chunk. The move notice may arrive before or after that. The caller gets one uninterrupted
+// response, and the request to the new engine carries the copy's handle and the last event id.
 TEST_P(moved_stream, goes_on_from_the_copy) {
     moving_stream moving;
     const auto movable = moving.fixture.state().streams.claim_movable(backend_id("i-1"));
     ASSERT_EQ(movable.size(), 1u);
     EXPECT_EQ(movable.front(), (movable_generation{"a1", 100 + 16, 40 - 16}));
-    moving.stops = !GetParam().notice_first;
+    moving.source_stops = !GetParam().notice_first;
     moving.fixture.run_for(milliseconds(60));
     moving.notify(monotonic_now());
-    moving.stops = true;
+    moving.source_stops = true;
     moving.fixture.finish(moving.view);
     EXPECT_TRUE(moving.view->complete()) << moving.view->bytes;
     EXPECT_EQ(moving.view->body(), events_text(0, 6));
@@ -367,12 +369,12 @@
     EXPECT_NE(sent.find("\r\nLast-Event-Id: 3\r\n"), std::string::npos) << sent;
 }
 
-/// How old the news of a move is when the stream stops, and whether its target leaves by then.
+/// The age of the move notice when the stream stops, and whether the target is leaving by then.
 struct old_move_row {
     std::string name;
     int age_ms;
     bool target_leaves;
-    std::size_t sends;
+    std::size_t expected_requests;
 };
 
 class old_move : public testing::TestWithParam<old_move_row> {};
@@ -384,9 +386,10 @@
                                          old_move_row{"old_target_leaves", 5'000, true, 0}),
                          [](const auto& info) { return info.param.name; });
 
-// A copy is complete when its source can't be reached any more; the stream is told to go on at the
-// target, but its source lives and goes on for ten seconds. When it stops the target has long said
-// that it leaves: a request would reach it after all have been promised that none does.
+// The source becomes unreachable after a complete copy, so the stream gets a notice to continue at
+// the target; but the source is alive and goes on for ten seconds. By the time it stops, the target
+// has long announced that it leaves, and a request would reach it after the guarantee that none
+// does.
 TEST_P(old_move, is_followed_only_to_an_engine_that_stays) {
     const old_move_row& row = GetParam();
     moving_stream moving;
@@ -394,15 +397,15 @@
         moving.fixture.state().registry.mark_leaving(backend_id("i-2"));
     }
     moving.notify(monotonic_now() - milliseconds(row.age_ms));
-    moving.stops = true;
+    moving.source_stops = true;
     moving.fixture.finish(moving.view);
-    EXPECT_EQ(moving.target->requests().size(), row.sends);
-    EXPECT_EQ(moving.view->complete(), row.sends == 1);
+    EXPECT_EQ(moving.target->requests().size(), row.expected_requests);
+    EXPECT_EQ(moving.view->complete(), row.expected_requests == 1);
 }
 
-// A server answers before it has read a long body, and keeps the connection. The caller has that
-// answer; the connection, on which the rest of the body is still due, carries no other request:
-// its bytes would be read as that body.
+// A server answers before it has read a long body, and keeps the connection open. The caller gets
+// that response. The connection must not be reused while the rest of the body is unsent: the server
+// would read the next request as part of that body.
 TEST(forwarding, an_answer_before_the_body_ends_the_connection) {
     forwarding_fixture f;
     scripted_backend& server = f.add("i-1", answering("early"));
@@ -418,8 +421,8 @@
     EXPECT_EQ(server.requests().size(), 2u);
 }
 
-// Requests that last longer than their route allows get their final answer then, not at the
-// deadline of the caller.
+// A request that exceeds the timeout of its route gets its final response at that time, not at the
+// later deadline of the caller.
 TEST(forwarding, the_route_s_timeout_ends_the_wait) {
     forwarding_fixture f;
     f.add("i-1", [](scripted_connection& c) -> asio::awaitable<void> {
--- a/test/platform/harmful_request_test.cpp
+++ b/test/platform/harmful_request_test.cpp
@@ -1,4 +1,4 @@
-// Requests that end the process of every backend server which runs them.
+// Requests that crash every backend server that runs them.
 
 #include "test/platform/forwarding_fixture.h"
 
@@ -13,7 +13,7 @@
 
 constexpr const char* harmful = "harmful";
 
-/// How far a server gets with a harmful request before its process ends.
+/// Whether a server has begun to answer a harmful request when its process ends.
 struct harm_row {
     std::string name;
     std::string route;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A new attempt, with another id, at the same request.
+    /// Sends a request with this body as a new attempt, with a new id, and waits for its response.
     std::shared_ptr<caller_view> ask(const std::string& body) {
         auto view = f_.ask(GetParam().route, fmt::format("attempt-{}", ++attempts_), "", body);
         f_.finish(view);
@@ -77,7 +77,7 @@
 INSTANTIATE_TEST_SUITE_P(table, harmful_request, testing::ValuesIn(harm_rows()),
                          [](const auto& info) { return info.param.name; });
 
-// Guards against a caller that ends all servers by sending one request again and again.
+// Guards against a caller that crashes all servers by repeating one request.
 TEST_P(harmful_request, ends_no_more_than_three_servers) {
     add_servers(8);
     std::shared_ptr<caller_view> last;
@@ -91,7 +91,8 @@
     EXPECT_EQ(ask("other")->status(), 200) << "another request is served";
 }
 
-// Guards against attempts that were sent before the request was held and end servers after it.
+// Guards against attempts that were already running when the request was quarantined and that crash
+// more servers afterwards.
 TEST(harmful_request_at_work, is_ended_on_other_servers_once_it_is_held) {
     forwarding_fixture f;
     int begun = 0;
@@ -122,7 +123,7 @@
     EXPECT_EQ(f.state().quarantine.open_calls(), 0u);
 }
 
-/// What happens to a server and its connections while it has a request.
+/// What happens to a server and its connection while it processes a request.
 struct loss_row {
     std::string name;
     bool process_ends;
@@ -138,8 +139,8 @@
                                          loss_row{"to_a_server_that_leaves", true, true, 0}),
                          [](const auto& info) { return info.param.name; });
 
-// Guards against requests that are blamed for a broken connection or for the end of a server that
-// was to end.
+// Guards against requests that are blamed for a broken connection, or for the end of a server that
+// had announced that it leaves.
 TEST_P(lost_connection, speaks_against_the_request_only_when_the_server_ended_unannounced) {
     forwarding_fixture f;
     f.add("i-1", [&](scripted_connection& c) -> asio::awaitable<void> {
@@ -157,23 +158,24 @@
     EXPECT_EQ(f.state().quarantine.decisions().size(), GetParam().evidence);
 }
 
-// Guards against ends of a server that always comes back under one id and are counted as one.
+// Guards against counting the crashes of several incarnations of a server as one, when it restarts
+// under the same id each time.
 TEST(lost_connection, of_each_life_of_a_server_counts) {
     forwarding_fixture f;
-    for (int life = 1; life <= 3; ++life) {
+    for (int incarnation = 1; incarnation <= 3; ++incarnation) {
         f.add("i-1", [](scripted_connection& c) -> asio::awaitable<void> {
             c.end_process();
             co_return;
         });
-        f.note_start("i-1", life);
-        f.finish(f.ask("once", fmt::format("attempt-{}", life), "", harmful));
+        f.note_start("i-1", incarnation);
+        f.finish(f.ask("once", fmt::format("attempt-{}", incarnation), "", harmful));
         f.run_for(milliseconds(120));
     }
     EXPECT_EQ(f.state().quarantine.decisions().size(), 3u);
     EXPECT_EQ(f.state().quarantine.decisions().held(), 1u);
 }
 
-// Guards against a request that everybody asks for, and that is blamed for being on every server.
+// Guards against blaming a frequent request that runs on every server whenever one crashes.
 TEST(lost_connection, of_a_request_answered_just_before_counts_for_nothing) {
     forwarding_fixture f;
     f.add("i-1", answering("sound"));
@@ -187,7 +189,7 @@
     EXPECT_TRUE(f.state().quarantine.decisions().evidence().front().cleared);
 }
 
-// Guards against a harmful request that goes free because a faulty server failed it without running
+// Guards against clearing a harmful request because a faulty server answered 500 without running
 // it.
 TEST(lost_connection, of_a_request_that_failed_elsewhere_still_counts) {
     forwarding_fixture f;
@@ -206,7 +208,7 @@
     EXPECT_FALSE(f.state().quarantine.decisions().evidence().front().cleared);
 }
 
-// Guards against a request that is blamed although servers survive it.
+// Guards against blaming a request that another server has answered successfully since.
 TEST(lost_connection, of_a_request_that_was_answered_since_counts_no_more) {
     forwarding_fixture f;
     f.add("i-1", [](scripted_connection& c) -> asio::awaitable<void> {
--- a/test/platform/refusal_test.cpp
+++ b/test/platform/refusal_test.cpp
@@ -1,4 +1,5 @@
-// Requests that an instance refuses itself: what the caller is told, and that no server sees them.
+// Requests that an instance rejects itself: the response to the caller, and that no backend server
+// receives them.
 
 #include "test/platform/forwarding_fixture.h"
 
@@ -46,8 +47,8 @@
     EXPECT_EQ(view->status(), 401);
 }
 
-// Before the first configuration an instance knows neither routes nor keys; the caller is told that
-// the request has not run, instead of 401 or 404 for what may be allowed.
+// Before it has a configuration, an instance knows neither routes nor keys. It answers 503 ("not
+// run") instead of 401 or 404, because the request may be allowed.
 TEST(forwarding, without_a_configuration_it_says_not_run) {
     forwarding_fixture f;
     f.state().routes = nullptr;
@@ -57,27 +58,29 @@
     EXPECT_FALSE(view->field("Retry-After").empty());
 }
 
-/// A request that only the configuration allows which the instance has been told of.
-struct late_row {
+/// A request that is allowed only by an announced configuration that the instance doesn't have yet.
+struct late_configuration_row {
     std::string name;
-    /// What the instance knows meanwhile: neither the route nor, with it, the caller's key.
+    /// With true, the old configuration has the route but not the caller's key; with false, it
+    /// lacks the route.
     bool has_route;
-    bool comes;
+    bool arrives;
     int status;
 };
 
-class late_configuration : public testing::TestWithParam<late_row> {};
+class late_configuration : public testing::TestWithParam<late_configuration_row> {};
 
 INSTANTIATE_TEST_SUITE_P(table, late_configuration,
-                         testing::Values(late_row{"route_comes", false, true, 200},
-                                         late_row{"route_stays_out", false, false, 503},
-                                         late_row{"key_comes", true, true, 200},
-                                         late_row{"key_stays_out", true, false, 503}),
+                         testing::Values(late_configuration_row{"route_comes", false, true, 200},
+                                         late_configuration_row{"route_stays_out", false, false,
+                                                                503},
+                                         late_configuration_row{"key_comes", true, true, 200},
+                                         late_configuration_row{"key_stays_out", true, false, 503}),
                          [](const auto& info) { return info.param.name; });
 
-// An operator has added a route or a key. The instance has been told that there is a newer
-// configuration and doesn't have it yet; by its old one the caller would get 404 or 401 and never
-// come back. It waits a moment for the newer one, and otherwise says "not run".
+// An operator has added a route or a key, and the instance knows that a newer configuration exists
+// but hasn't received it. By the old one the caller would get 404 or 401 and never retry. The
+// instance waits briefly for the newer one, and otherwise answers 503 ("not run").
 TEST_P(late_configuration, denies_nothing_for_good) {
     forwarding_fixture f;
     f.add("i-1", answering("x"));
@@ -92,22 +95,22 @@
     }
     f.state().routes = std::make_shared<const route_table>(old);
     f.state().announced_configuration = old.version + 1;
-    const time_point asked = monotonic_now();
+    const time_point sent_at = monotonic_now();
     const auto view = f.ask("once", "a1");
     f.run_for(milliseconds(40));
     EXPECT_FALSE(view->done);
-    if (GetParam().comes) {
+    if (GetParam().arrives) {
         routing_configuration changed = newest->configuration();
         ++changed.version;
         f.state().routes = std::make_shared<const route_table>(changed);
     }
     f.finish(view);
     EXPECT_EQ(view->status(), GetParam().status);
-    EXPECT_EQ(view->field("Retry-After").empty(), GetParam().comes);
-    EXPECT_LT(monotonic_now() - asked, milliseconds(500));
+    EXPECT_EQ(view->field("Retry-After").empty(), GetParam().arrives);
+    EXPECT_LT(monotonic_now() - sent_at, milliseconds(500));
 }
 
-// All servers are down: nothing was sent, so "not run" is true and said at once.
+// All servers are down. Nothing was sent, so the instance answers 503 ("not run") at once.
 TEST(forwarding, servers_that_refuse_connections_leave_the_request_unrun) {
     forwarding_fixture f;
     f.add_dead("i-1");
@@ -117,7 +120,7 @@
     EXPECT_EQ(view->status(), 503);
 }
 
-/// A request that arrives while the instance shuts down and ends in 700 ms.
+/// A request that arrives during a graceful shutdown, 700 ms before the instance's process ends.
 struct shutdown_row {
     std::string name;
     std::string route;
@@ -135,10 +138,10 @@
                                                       "Deadline-Ms: 300\r\n", true}),
                          [](const auto& info) { return info.param.name; });
 
-// A graceful shutdown has begun, and callers still use connections that they keep. What may last
-// beyond the end of the process would be cut there, after a backend server has worked on it. Its
-// caller is told at once that it has not run and may come back right away, elsewhere; what surely
-// ends in time is served.
+// During a graceful shutdown, callers still send requests on their open connections. A request that
+// may outlast the process would be interrupted after a backend server has worked on it, so it is
+// answered at once with "not run" and a short Retry-After, for a retry at another instance. A
+// request that is certain to end in time is served.
 TEST_P(shutting_down, takes_only_what_ends_in_time) {
     forwarding_fixture f;
     scripted_backend& engine = f.add(
@@ -158,26 +161,26 @@
     EXPECT_EQ(engine.requests().size() + calls.requests().size(), GetParam().served ? 1u : 0u);
 }
 
-/// Ranks and whether a generation is taken by an engine whose memory would be promised 1.07 times
-/// over with it.
-struct rank_row {
+/// Priorities, and the status of a generation that would raise the committed memory of the only
+/// engine to 1.07 times its capacity.
+struct priority_row {
     std::string name;
-    int route_rank;
-    std::optional<int> workspace_rank;
+    int route_priority;
+    std::optional<int> workspace_priority;
     int status;
 };
 
-class ranked : public testing::TestWithParam<rank_row> {};
+class ranked : public testing::TestWithParam<priority_row> {};
 
 INSTANTIATE_TEST_SUITE_P(table, ranked,
-                         testing::Values(rank_row{"urgent_route", 0, std::nullopt, 200},
-                                         rank_row{"less_urgent_route", 1, std::nullopt, 503},
-                                         rank_row{"urgent_workspace", 1, 0, 200},
-                                         rank_row{"less_urgent_workspace", 0, 1, 503}),
+                         testing::Values(priority_row{"urgent_route", 0, std::nullopt, 200},
+                                         priority_row{"less_urgent_route", 1, std::nullopt, 503},
+                                         priority_row{"urgent_workspace", 1, 0, 200},
+                                         priority_row{"less_urgent_workspace", 0, 1, 503}),
                          [](const auto& info) { return info.param.name; });
 
-// Engines are crowded. Who is more urgent is served and the others are told to come back; the
-// workspace's rank goes before the route's.
+// All engines are overcommitted: generations of the highest priority are served, and the others get
+// 503. The workspace's priority overrides the route's.
 TEST_P(ranked, the_workspace_s_rank_goes_first) {
     forwarding_fixture f;
     f.add(
@@ -186,10 +189,10 @@
             co_await c.send(stream_head(c) + stream_events(0, 1) + stream_end);
         },
         "engines");
-    f.route("long").priority = GetParam().route_rank;
+    f.route("long").priority = GetParam().route_priority;
     f.run_for(milliseconds(1));
     routing_configuration changed = f.state().routes->configuration();
-    changed.workspaces->front().priority = GetParam().workspace_rank;
+    changed.workspaces->front().priority = GetParam().workspace_priority;
     f.state().routes = std::make_shared<const route_table>(changed);
     const auto memory = changed.services.back().engine->memory_tokens;
     const std::int64_t own = 140;
--- a/test/platform/scripted_backend.cpp
+++ b/test/platform/scripted_backend.cpp
@@ -96,7 +96,7 @@
 
 void scripted_backend::answer_before_the_body() {
     reads_bodies_ = false;
-    // Small, so that a long body stays with the sender.
+    // With a small receive buffer, most of a long body remains unsent at the sender.
     acceptor_.set_option(asio::socket_base::receive_buffer_size(4'096));
 }
 
@@ -127,13 +127,14 @@
             co_return;
         }
         const std::string length = field_of(buffer.substr(0, head), "Content-Length");
-        const std::size_t whole = head + (length.empty() ? 0 : std::stoul(length));
-        if (reads_bodies_ && buffer.size() < whole) {
+        const std::size_t request_size = head + (length.empty() ? 0 : std::stoul(length));
+        if (reads_bodies_ && buffer.size() < request_size) {
             co_await asio::async_read(socket, asio::dynamic_buffer(buffer),
-                                      asio::transfer_exactly(whole - buffer.size()), token(ec));
+                                      asio::transfer_exactly(request_size - buffer.size()),
+                                      token(ec));
         }
-        requests_.push_back(buffer.substr(0, whole));
-        buffer.erase(0, whole);
+        requests_.push_back(buffer.substr(0, request_size));
+        buffer.erase(0, request_size);
         scripted_connection connection(socket, requests_.back(), [this] { end_process(); });
         co_await script_(connection);
         if (!reads_bodies_) {
--- a/test/platform/scripted_backend.h
+++ b/test/platform/scripted_backend.h
@@ -11,7 +11,7 @@
 
 namespace bamboostream::test {
 
-/// One connection of a scripted backend server, after a whole request was read from it.
+/// One connection of a scripted backend server, on which a complete request was received.
 class scripted_connection {
 public:
     scripted_connection(boost::asio::ip::tcp::socket& socket, std::string request,
@@ -19,18 +19,18 @@
         : socket_(socket), request_(std::move(request)), end_process_(std::move(end_process)) {}
 
     const std::string& request() const { return request_; }
-    /// The value of a field of the request; empty when absent.
+    /// The value of a header field of the request; empty when absent.
     std::string field(const std::string& name) const;
     boost::asio::awaitable<void> send(std::string bytes);
     boost::asio::awaitable<void> pause(int ms);
-    /// Reads until the other side closes.
+    /// Reads and discards data until the peer closes the connection.
     boost::asio::awaitable<void> wait_for_close();
-    /// Whether the other side has closed.
+    /// Returns true when the peer has closed or reset the connection and no unread data is left.
     bool is_closed() const;
     void close();
-    /// Closes so that the other side sees a reset.
+    /// Closes the connection with a TCP reset.
     void reset();
-    /// The server's process ends: all its connections break and no new one is accepted.
+    /// Simulates the end of the server's process: closes all its connections and accepts no more.
     void end_process() { end_process_(); }
 
 private:
@@ -41,7 +41,8 @@
 
 using backend_script = std::function<boost::asio::awaitable<void>(scripted_connection&)>;
 
-/// A backend server on loopback that answers as its script says, byte by byte.
+/// A backend server on loopback. Its script runs once for each request and determines every byte
+/// that is sent.
 class scripted_backend {
 public:
     scripted_backend(boost::asio::io_context& context, backend_script script);
@@ -49,13 +50,16 @@
     const std::string& address() const { return address_; }
     const std::vector<std::string>& requests() const { return requests_; }
     int connections() const { return connections_; }
-    /// Connections that the other side has closed.
+    /// The number of connections that the peer has closed.
     int closed() const { return closed_; }
+    /// Accepts no more connections; those that are open stay open.
     void stop();
-    /// Its process ends: no connection is accepted, and those that are open break.
+    /// Simulates the end of the process: closes the open connections and accepts no more.
     void end_process();
     bool ended() const { return !acceptor_.is_open(); }
-    /// From now on it answers once it has the head of a request, and reads no bodies.
+    /// From now on, runs the script as soon as the head of a request has arrived, without waiting
+    /// for the body, and serves one request on each connection, which stays open until the peer
+    /// closes it.
     void answer_before_the_body();
 
 private:
@@ -68,7 +72,7 @@
     std::string address_;
     std::vector<std::string> requests_;
     using socket_set = std::set<boost::asio::ip::tcp::socket*>;
-    /// Shared with the connections, which may outlive the server.
+    /// The sockets of open connections. Shared with the connections, which may outlive the server.
     std::shared_ptr<socket_set> open_ = std::make_shared<socket_set>();
     int connections_ = 0;
     int closed_ = 0;
--- a/test/platform/stream_decisions_test.cpp
+++ b/test/platform/stream_decisions_test.cpp
@@ -1,4 +1,4 @@
-// Attempts, events and moves of streams, without a network.
+// Decisions about retries, event splitting and moves of streams, without a network.
 
 #include "bamboostream/Evacuation"
 #include "bamboostream/Forwarding"
@@ -18,8 +18,8 @@
     repeat_policy repeats;
     int max_attempts;
     std::vector<attempt_end> ends;
-    bool again;
-    final_response answer;
+    bool expected_retry;
+    final_response expected_response;
 };
 
 class attempt_decision : public testing::TestWithParam<attempt_row> {};
@@ -66,8 +66,8 @@
     }
     const attempt_end last = GetParam().ends.back();
     EXPECT_EQ(may_retry(GetParam().repeats, GetParam().max_attempts, history, last),
-              GetParam().again);
-    EXPECT_EQ(choose_final_response(history, last), GetParam().answer);
+              GetParam().expected_retry);
+    EXPECT_EQ(choose_final_response(history, last), GetParam().expected_response);
 }
 
 // --- events
@@ -134,8 +134,8 @@
     EXPECT_EQ(ordered[2].generation.id, "ending");
 }
 
-// Callers' estimates are right at the median only. A generation that has outlived its estimate must
-// not count as about to end: it would be moved last and cut.
+// Callers' estimates of the output length are right at the median only. A generation that has
+// exceeded its estimate must not count as about to end: it would be moved last and be interrupted.
 TEST(move_plan_test, what_has_outlived_its_estimate_lives_on) {
     boost::asio::io_context context;
     active_stream stream(context.get_executor(), "g");
@@ -148,9 +148,9 @@
     }
 }
 
-// An engine leaves. A generation that has outlived its caller's estimate is claimed with "0 tokens
-// left", is ordered behind all others as if it ended by itself, and is cut when the engine goes.
-// Half of all generations outlive their estimates.
+// Guards against claims that report 0 remaining tokens for a generation that has exceeded its
+// caller's estimate: it would be ordered last, as if about to end by itself, and be interrupted
+// when its engine shuts down. Half of all generations exceed their estimates.
 TEST(move_plan_test, claims_say_what_is_really_expected_yet) {
     boost::asio::io_context context;
     active_streams streams;
@@ -171,8 +171,9 @@
     }
 }
 
-// A caller's estimate says 34,926 tokens where its request allows 2,204. Counted as it is, no
-// engine has room for the generation, so nobody takes it when its engine leaves.
+// A caller estimates 34,926 output tokens for a request that allows 2,204. If the estimate weren't
+// capped, no engine would have enough memory for the generation, so it couldn't be moved when its
+// engine leaves.
 TEST(move_plan_test, an_estimate_counts_for_no_more_than_the_request_allows) {
     forward_request request;
     request.expected_output_tokens = 34'926;
