--- a/test/platform/soak_audit.cpp
+++ b/test/platform/soak_audit.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-constexpr int servers_until_held = 3;
-constexpr milliseconds time_to_hold{3'000};
-/// What instances in touch may send after that.
-constexpr int most_late = 3;
+constexpr int crashes_until_quarantine = 3;
+constexpr milliseconds quarantine_delay{3'000};
+/// How many servers a path may still crash after that delay, by requests that up-to-date instances
+/// sent.
+constexpr int max_late_crashes = 3;
 
 } // namespace
 
@@ -17,21 +18,23 @@
     if (++runs_[request] > 1) {
         violations_.push_back(fmt::format("{} ran a second time, at {}", request, server));
     }
-    if (promised_.contains(request)) {
-        violations_.push_back(fmt::format("{} ran at {} after \"not run\"", request, server));
+    if (refused_.contains(request)) {
+        violations_.push_back(
+            fmt::format("{} ran at {} after the caller was told \"not run\"", request, server));
     }
 }
 
-void soak_audit::ended(const std::string& request, seen_end end, const std::string& body) {
-    if (end == seen_end::answered) {
+void soak_audit::ended(const std::string& request, observed_outcome end, const std::string& body) {
+    if (end == observed_outcome::answered) {
         ++answered_;
         if (body != request) {
             violations_.push_back(fmt::format("{} was answered with \"{}\"", request, body));
         }
-    } else if (end == seen_end::not_run) {
-        promised_.insert(request);
+    } else if (end == observed_outcome::not_run) {
+        refused_.insert(request);
         if (runs_.contains(request)) {
-            violations_.push_back(fmt::format("{} was told \"not run\" and had run", request));
+            violations_.push_back(
+                fmt::format("{} was reported as \"not run\" but had run", request));
         }
     } else {
         ++unknown_;
@@ -42,7 +45,7 @@
     int& next = next_event_[request];
     if (number != next) {
         violations_.push_back(
-            fmt::format("{} got event {} where {} was due", request, number, next));
+            fmt::format("{} received event {}, expected {}", request, number, next));
     }
     next = number + 1;
 }
@@ -55,34 +58,40 @@
     }
 }
 
-void soak_audit::sent_to_left_server(const std::string& request, const std::string& server) {
-    violations_.push_back(fmt::format("{} reached {}, which had left", request, server));
+void soak_audit::request_reached_left_server(const std::string& request,
+                                             const std::string& server) {
+    violations_.push_back(
+        fmt::format("{} was sent to {} after that server had left", request, server));
 }
 
-void soak_audit::ended_a_server(const std::string& path, time_point now, bool in_touch) {
-    harm& done = harm_[path];
-    if (++done.servers == servers_until_held) {
-        done.third = now;
+void soak_audit::server_crashed(const std::string& path, time_point now, bool up_to_date) {
+    crash_record& crashes = crashes_by_path_[path];
+    if (++crashes.servers == crashes_until_quarantine) {
+        crashes.quarantine_due_since = now;
     }
-    const bool late = done.servers > servers_until_held && now - done.third > time_to_hold;
-    if (late && in_touch && ++done.late > most_late) {
-        violations_.push_back(fmt::format("{} ended a server, {} in all", path, done.servers));
+    const bool late = crashes.servers > crashes_until_quarantine &&
+                      now - crashes.quarantine_due_since > quarantine_delay;
+    if (late && up_to_date && ++crashes.late_crashes > max_late_crashes) {
+        violations_.push_back(
+            fmt::format("{} crashed a server after its quarantine was due, {} servers in all", path,
+                        crashes.servers));
     }
 }
 
-void soak_audit::held(const std::string& request, const std::string& path) {
-    if (!harm_.contains(path)) {
-        violations_.push_back(fmt::format("{} was held, and {} ends no server", request, path));
+void soak_audit::quarantined(const std::string& request, const std::string& path) {
+    if (!crashes_by_path_.contains(path)) {
+        violations_.push_back(
+            fmt::format("{} was refused as harmful, but {} has crashed no server", request, path));
     }
 }
 
-void soak_audit::ended_by_itself(const std::string& process, int exit_code) {
-    violations_.push_back(fmt::format("{} ended by itself with {}", process, exit_code));
+void soak_audit::process_exited(const std::string& process, int exit_code) {
+    violations_.push_back(fmt::format("{} exited unexpectedly with code {}", process, exit_code));
 }
 
 void soak_audit::not_recovered(const std::string& instance, const std::string& last) {
     violations_.push_back(
-        fmt::format("{} does not serve after the last fault, last: {}", instance, last));
+        fmt::format("{} does not serve after the last fault, last status: {}", instance, last));
 }
 
 } // namespace bamboostream::test
--- a/test/platform/soak_audit.h
+++ b/test/platform/soak_audit.h
@@ -10,55 +10,56 @@
 
 namespace bamboostream::test {
 
-/// How a caller saw its request end.
-enum class seen_end : std::uint8_t {
-    /// A whole answer with status 200.
+/// The outcome of a request as its caller observed it.
+enum class observed_outcome : std::uint8_t {
+    /// A complete answer with status 200.
     answered,
-    /// 503: the instance promises that the request has not run and never will.
+    /// Status 503: the instance guarantees that the request has not run and never will.
     not_run,
-    /// Any other end: the fate is unknown to the caller.
+    /// Any other outcome: the caller cannot tell whether the request ran.
     unknown,
 };
 
-/// Checks what instances promise, from what callers and backend servers see. Each violation is a
-/// sentence; none must ever come.
+/// Checks the guarantees of the instances against what callers and backend servers observe. Each
+/// violation is recorded as a sentence; a correct system produces none.
 class soak_audit {
 public:
-    /// A backend server began to work on a request.
+    /// A backend server started to run a request.
     void ran(const std::string& request, const std::string& server);
-    /// A caller's request ended. `body` is what a whole answer held.
-    void ended(const std::string& request, seen_end end, const std::string& body);
-    /// A caller got an event of its stream.
+    /// A caller's request ended. `body` is the content of a complete answer.
+    void ended(const std::string& request, observed_outcome end, const std::string& body);
+    /// A caller received an event of its stream.
     void event(const std::string& request, int number);
-    /// A stream of `events` events ended as complete.
+    /// A stream that consists of `events` events was reported as complete.
     void completed(const std::string& request, int events);
-    /// A server that had left for longer than the bound got a request.
-    void sent_to_left_server(const std::string& request, const std::string& server);
-    /// A server ended under a request that was sent by an instance which is in touch, or not.
-    void ended_a_server(const std::string& path, time_point now, bool in_touch);
-    /// A request was refused because servers had ended under requests like it.
-    void held(const std::string& request, const std::string& path);
-    /// A process ended though nobody had ended it.
-    void ended_by_itself(const std::string& process, int exit_code);
-    /// An instance did not serve again in time after the last fault.
+    /// A request was sent to a server that had left longer ago than the bound allows.
+    void request_reached_left_server(const std::string& request, const std::string& server);
+    /// A server crashed while running a request for `path`. `up_to_date`: the instance that sent it
+    /// was undisturbed for long enough to know what the others know.
+    void server_crashed(const std::string& path, time_point now, bool up_to_date);
+    /// A request was refused because requests like it had crashed servers.
+    void quarantined(const std::string& request, const std::string& path);
+    /// A process exited although the test had not stopped it.
+    void process_exited(const std::string& process, int exit_code);
+    /// An instance did not recover in time after the last fault; `last` is its last status.
     void not_recovered(const std::string& instance, const std::string& last);
 
     const std::vector<std::string>& violations() const { return violations_; }
     std::size_t answered() const { return answered_; }
-    std::size_t refused() const { return promised_.size(); }
+    std::size_t refused() const { return refused_.size(); }
     std::size_t unknown() const { return unknown_; }
 
 private:
-    struct harm {
+    struct crash_record {
         int servers = 0;
-        time_point third{};
-        int late = 0;
+        time_point quarantine_due_since{};
+        int late_crashes = 0;
     };
 
     std::map<std::string, int> runs_;
-    std::set<std::string> promised_;
+    std::set<std::string> refused_;
     std::map<std::string, int> next_event_;
-    std::map<std::string, harm> harm_;
+    std::map<std::string, crash_record> crashes_by_path_;
     std::vector<std::string> violations_;
     std::size_t answered_ = 0;
     std::size_t unknown_ = 0;
--- a/test/platform/soak_audit_test.cpp
+++ b/test/platform/soak_audit_test.cpp
@@ -1,4 +1,4 @@
-// Each promise that the soak checks, broken once: the audit must say so.
+// Breaks each guarantee that the soak test checks once, and expects the audit to report it.
 
 #include "test/platform/soak_audit.h"
 #include "test/platform/soak_plan.h"
@@ -13,7 +13,7 @@
 
 struct audit_row {
     std::string name;
-    std::function<void(soak_audit&)> what_happens;
+    std::function<void(soak_audit&)> report_events;
     std::size_t violations;
 };
 
@@ -29,10 +29,10 @@
         audit_row{"sound",
                   [](soak_audit& a) {
                       a.ran("r", "s");
-                      a.ended("r", seen_end::answered, "r");
-                      a.ended("q", seen_end::not_run, "");
+                      a.ended("r", observed_outcome::answered, "r");
+                      a.ended("q", observed_outcome::not_run, "");
                       a.ran("u", "s");
-                      a.ended("u", seen_end::unknown, "");
+                      a.ended("u", observed_outcome::unknown, "");
                       a.event("e", 0);
                       a.event("e", 1);
                       a.completed("e", 2);
@@ -47,17 +47,17 @@
         audit_row{"refused_after_a_run",
                   [](soak_audit& a) {
                       a.ran("r", "s");
-                      a.ended("r", seen_end::not_run, "");
+                      a.ended("r", observed_outcome::not_run, "");
                   },
                   1},
         audit_row{"ran_after_a_refusal",
                   [](soak_audit& a) {
-                      a.ended("r", seen_end::not_run, "");
+                      a.ended("r", observed_outcome::not_run, "");
                       a.ran("r", "s");
                   },
                   1},
-        audit_row{"another_s_answer", [](soak_audit& a) { a.ended("r", seen_end::answered, "q"); },
-                  1},
+        audit_row{"another_s_answer",
+                  [](soak_audit& a) { a.ended("r", observed_outcome::answered, "q"); }, 1},
         audit_row{"event_missing",
                   [](soak_audit& a) {
                       a.event("e", 0);
@@ -76,41 +76,42 @@
                       a.completed("e", 2);
                   },
                   1},
-        audit_row{"server_that_left", [](soak_audit& a) { a.sent_to_left_server("r", "s"); }, 1},
+        audit_row{"server_that_left",
+                  [](soak_audit& a) { a.request_reached_left_server("r", "s"); }, 1},
         audit_row{"harmful_request_in_time",
                   [](soak_audit& a) {
                       for (int i = 0; i < 8; ++i) {
-                          a.ended_a_server("/h", begin + milliseconds(100 * i), true);
+                          a.server_crashed("/h", begin + milliseconds(100 * i), true);
                       }
-                      a.held("r", "/h");
+                      a.quarantined("r", "/h");
                   },
                   0},
         audit_row{"harmful_request_never_held",
                   [](soak_audit& a) {
                       for (int i = 0; i < 10; ++i) {
-                          a.ended_a_server("/h", begin + seconds(i), true);
+                          a.server_crashed("/h", begin + seconds(i), true);
                       }
                   },
                   1},
         audit_row{"harmful_request_by_instances_out_of_touch",
                   [](soak_audit& a) {
                       for (int i = 0; i < 10; ++i) {
-                          a.ended_a_server("/h", begin + seconds(i), false);
+                          a.server_crashed("/h", begin + seconds(i), false);
                       }
                   },
                   0},
-        audit_row{"innocent_request_held", [](soak_audit& a) { a.held("r", "/a/x"); }, 1},
-        audit_row{"process_ended", [](soak_audit& a) { a.ended_by_itself("p", 139); }, 1},
+        audit_row{"innocent_request_held", [](soak_audit& a) { a.quarantined("r", "/a/x"); }, 1},
+        audit_row{"process_ended", [](soak_audit& a) { a.process_exited("p", 139); }, 1},
         audit_row{"not_recovered", [](soak_audit& a) { a.not_recovered("i", "503"); }, 1}),
     [](const auto& info) { return info.param.name; });
 
 TEST_P(soak_audit_test, finds_each_broken_promise) {
     soak_audit audit;
-    GetParam().what_happens(audit);
+    GetParam().report_events(audit);
     EXPECT_EQ(audit.violations().size(), GetParam().violations);
 }
 
-// A seed that failed must play the same faults again.
+// A failed run can only be reproduced if its seed yields the same faults again.
 TEST(soak_plan_test, a_seed_always_gives_the_same_plan) {
     EXPECT_EQ(print(make_soak_plan(7, milliseconds(9'000))),
               print(make_soak_plan(7, milliseconds(9'000))));
--- a/test/platform/soak_plan.h
+++ b/test/platform/soak_plan.h
@@ -8,7 +8,7 @@
 
 namespace bamboostream::test {
 
-/// Faults that the soak injects from outside the processes.
+/// Faults that the soak test injects from outside the processes.
 enum class soak_fault : std::uint8_t {
     kill,
     terminate,
@@ -23,28 +23,28 @@
     link_cut,
     link_loses_answers,
     link_refuses,
-    /// A server's entry is removed without a word before; it goes on serving.
+    /// A server's entry is removed without prior announcement; the server goes on serving.
     server_removed,
-    /// Half of the instances at once are turned away by the store without an answer, and a server
-    /// leaves.
+    /// The store stops answering half of the instances at once, and a server leaves.
     store_is_silent_to_half,
-    /// From now on callers send a request that ends every server which runs it.
+    /// From now on, callers send a request that crashes every server that runs it.
     harmful_request,
     count_,
 };
 
-/// One step of a plan. Steps overlap: a fault lasts while others begin.
+/// One step of a plan. Steps overlap: other faults begin while one is active.
 struct soak_step {
     milliseconds at{0};
     soak_fault fault = soak_fault::kill;
-    /// Which instance, server or link; taken modulo how many there are.
+    /// Selects the instance, server or link, modulo their number.
     unsigned target = 0;
-    milliseconds lasts{0};
+    milliseconds duration{0};
 };
 
-/// The steps of a seed, by time; all faults end within `length`.
+/// Generates the steps for a seed, sorted by time. The same seed and length always give the same
+/// plan, and all faults of the plan end within `length`.
 std::vector<soak_step> make_soak_plan(std::uint64_t seed, milliseconds length);
-/// One line a step.
+/// Formats a plan with one line per step.
 std::string print(const std::vector<soak_step>& plan);
 
 } // namespace bamboostream::test
--- a/test/platform/system/gateway_fixture.h
+++ b/test/platform/system/gateway_fixture.h
@@ -16,9 +16,11 @@
 
 namespace asio = boost::asio;
 
-/// Long enough for a loaded machine; every wait ends as soon as its condition holds.
-inline constexpr milliseconds patience{6'000};
+/// Upper limit of a wait, generous enough for a loaded machine; every wait ends as soon as its
+/// condition holds.
+inline constexpr milliseconds wait_timeout{6'000};
 
+/// A gateway process with its address, settings file and log file.
 struct instance_under_test {
     std::unique_ptr<process> running;
     std::string ip;
@@ -26,14 +28,14 @@
     std::string log;
 };
 
-/// What came of one call to an instance.
+/// Outcome of one call to an instance. `status` is -1 when no complete answer arrived.
 struct call_result {
     bool done = false;
     int status = 0;
     std::string body;
 };
 
-/// Real gateway processes before the store's stand-in and scripted backend servers.
+/// Runs real gateway processes against a fake store and scripted backend servers.
 class gateway_test : public testing::Test {
 public:
     gateway_test(const gateway_test&) = delete;
@@ -44,7 +46,7 @@
         std::string pattern =
             (std::filesystem::temp_directory_path() / "bamboostream-XXXXXX").string();
         folder_ = mkdtemp(pattern.data());
-        good_store_ = store_.add_address();
+        serving_store_ = store_.add_address();
     }
 
     ~gateway_test() override {
@@ -55,7 +57,7 @@
         }
     }
 
-    // Each test process has loopback addresses of its own, since the ports are fixed.
+    // The ports are fixed, so each test process uses its own loopback addresses.
     std::string ip_of(int index) const {
         const int pid = getpid();
         return fmt::format("127.{}.{}.{}", 1 + pid / 256 % 250, pid % 256, 10 + index);
@@ -89,7 +91,8 @@
             it.log);
     }
 
-    /// `more_routes`: of customers whom nobody calls for; the last is new in each version.
+    /// Writes a configuration whose only tenant has the API key `key`. `more_routes` adds routes of
+    /// other customers that receive no calls; the last of them differs in each version.
     void configure(int version, const std::string& key, int more_routes = 0) {
         std::string more;
         for (int i = 0; i < more_routes; ++i) {
@@ -118,7 +121,7 @@
         return *backends_.back();
     }
 
-    scripted_backend& add_sound_backend(const std::string& id) {
+    scripted_backend& add_valid_backend(const std::string& id) {
         return add_backend(id, [](scripted_connection& c) -> asio::awaitable<void> {
             co_await c.send(fmt::format("HTTP/1.1 200 OK\r\nAttempt-Id: {}\r\nResponse-Seal: s\r\n"
                                         "Content-Length: 2\r\n\r\nok",
@@ -133,7 +136,7 @@
             [this, result, address, request]() -> asio::awaitable<void> {
                 http_failure why;
                 const auto response =
-                    co_await fetch(context_.get_executor(), address, request, patience, why);
+                    co_await fetch(context_.get_executor(), address, request, wait_timeout, why);
                 result->status = response ? response->status : -1;
                 result->body = response ? response->body : why.text;
                 result->done = true;
@@ -142,9 +145,9 @@
         return result;
     }
 
-    std::shared_ptr<call_result> ask(const instance_under_test& it, const std::string& key,
-                                     const std::string& path = "/a/x",
-                                     const std::string& id = random_id()) {
+    std::shared_ptr<call_result> send_request(const instance_under_test& it, const std::string& key,
+                                              const std::string& path = "/a/x",
+                                              const std::string& id = random_id()) {
         http_request request = make_request("GET", path);
         request.fields = {{"Attempt-Id", id}, {"Authorization", "Bearer " + key}};
         return call_with_host(it.ip + ":8740", request);
@@ -159,7 +162,7 @@
                 const auto connection = std::make_shared<http_connection>(context_.get_executor());
                 http_failure why;
                 result->status = -1;
-                if (co_await connection->connect(address, patience, why)) {
+                if (co_await connection->connect(address, wait_timeout, why)) {
                     std::string bytes = fmt::format("{} {} HTTP/1.1\r\nHost: h.example\r\n",
                                                     request.method, request.path);
                     for (const http_field& field : request.fields) {
@@ -179,17 +182,17 @@
         return result;
     }
 
-    void finish(const std::shared_ptr<call_result>& result) {
+    void wait_until_done(const std::shared_ptr<call_result>& result) {
         wait_until([&] { return result->done; });
     }
 
     int status_of(const instance_under_test& it, const std::string& key) {
-        const auto result = ask(it, key);
-        finish(result);
+        const auto result = send_request(it, key);
+        wait_until_done(result);
         return result->status;
     }
 
-    bool wait_until(const std::function<bool()>& condition, milliseconds limit = patience) {
+    bool wait_until(const std::function<bool()>& condition, milliseconds limit = wait_timeout) {
         const time_point until = monotonic_now() + limit;
         while (!condition() && monotonic_now() < until) {
             context_.restart();
@@ -199,7 +202,7 @@
     }
 
     bool serves(const instance_under_test& it, const std::string& key,
-                milliseconds limit = patience) {
+                milliseconds limit = wait_timeout) {
         const time_point until = monotonic_now() + limit;
         while (monotonic_now() < until) {
             if (status_of(it, key) == 200) {
@@ -211,7 +214,7 @@
         return false;
     }
 
-    /// Whether the instance's log has a line of that event with that detail in it.
+    /// Whether the instance's log has a line that contains both `event` and `detail`.
     static bool has_logged(const instance_under_test& it, std::string_view event,
                            std::string_view detail) {
         std::ifstream log(it.log);
@@ -224,17 +227,17 @@
         return false;
     }
 
-    std::string directory_of(const instance_under_test& it) {
+    std::string fetch_directory(const instance_under_test& it) {
         const auto result =
             call(it.ip + ":8746", make_request("GET", "/resolve?name=h.example&zone=z0"));
-        finish(result);
+        wait_until_done(result);
         return result->body;
     }
 
     asio::io_context context_{1};
     standin_store store_;
     std::string folder_;
-    std::string good_store_;
+    std::string serving_store_;
     std::vector<std::unique_ptr<scripted_backend>> backends_;
     std::vector<std::unique_ptr<instance_under_test>> instances_;
 };
--- a/test/platform/system/harmful_request_test.cpp
+++ b/test/platform/system/harmful_request_test.cpp
@@ -1,4 +1,4 @@
-// Real gateway processes and a request that ends the process of every backend server which runs it.
+// Tests of real gateway processes with a request that crashes every backend server that runs it.
 
 #include "test/platform/system/gateway_fixture.h"
 
@@ -30,8 +30,8 @@
     }
 
     int send_harmful(const instance_under_test& to) {
-        const auto result = ask(to, "k", harmful_path);
-        finish(result);
+        const auto result = send_request(to, "k", harmful_path);
+        wait_until_done(result);
         wait_until([] { return false; }, milliseconds(100));
         return result->status;
     }
@@ -45,7 +45,7 @@
         configure(1, "k");
         add_servers();
         for (int i = 0; i < count; ++i) {
-            add_instance(good_store_);
+            add_instance(serving_store_);
         }
         for (const auto& it : instances_) {
             ASSERT_TRUE(serves(*it, "k"));
@@ -54,14 +54,15 @@
     }
 
     bool knows_all(const instance_under_test& it) {
-        const std::string answer = directory_of(it);
+        const std::string answer = fetch_directory(it);
         return std::all_of(instances_.begin(), instances_.end(), [&](const auto& other) {
             return answer.find(other->ip) != std::string::npos;
         });
     }
 };
 
-// Guards against instances that each learn by themselves what a request does to servers.
+// Guards against instances that do not share which requests crash servers, so that each of them
+// loses servers before it refuses the request.
 TEST_F(harmful_request_system, ends_three_servers_whichever_instances_it_is_sent_to) {
     add_instances(4);
     for (int i = 0; i < 10; ++i) {
@@ -72,20 +73,20 @@
     EXPECT_TRUE(serves(*instances_.front(), "k"));
 }
 
-// Guards against an instance that forgets harmful requests when it is started again.
+// Guards against an instance that does not know the harmful requests after it is started.
 TEST_F(harmful_request_system, is_known_to_an_instance_that_starts_later) {
     add_instances(3);
     for (int i = 0; i < 4; ++i) {
         send_harmful(*instances_.front());
     }
-    auto& late = add_instance(good_store_);
+    auto& late = add_instance(serving_store_);
     ASSERT_TRUE(serves(late, "k"));
     wait_until([] { return false; }, milliseconds(1'000));
     EXPECT_EQ(send_harmful(late), 503);
     EXPECT_EQ(ended(), 3);
 }
 
-// Guards against all instances forgetting harmful requests when they are killed at once.
+// Guards against losing the knowledge of harmful requests when all instances are killed at once.
 TEST_F(harmful_request_system, is_known_after_all_instances_were_killed) {
     add_instances(3);
     for (int i = 0; i < 4; ++i) {
@@ -94,7 +95,7 @@
     wait_until([] { return false; }, milliseconds(500));
     for (const auto& it : instances_) {
         it->running->signal(SIGKILL);
-        it->running->wait_for_end(patience);
+        it->running->wait_for_end(wait_timeout);
     }
     for (const auto& it : instances_) {
         start(*it);
--- a/test/platform/system/leaving_view_test.cpp
+++ b/test/platform/system/leaving_view_test.cpp
@@ -1,10 +1,11 @@
-// What callers see: a request is cut, because it was sent to a backend server that had left more
-// than two seconds before. In order: the store stops serving the instances that read it for all, a
-// server says that it leaves or its entry is removed, and instances go on choosing it. The causes,
-// each proved by a trace of every record read and of the age of the view at each choice: a reader
-// called its view fresh until a read failed; an instance that had been cut off alone put removals
-// off; a peer's older list took a removal back. docs/incidents/leaving-servers.md tells the whole
-// story.
+// Guards against requests that are cut off because they were sent to a backend server that had left
+// more than two seconds before. The store stops serving the instances that read it on behalf of
+// all, a server announces that it leaves or its entry is removed, and instances keep choosing it.
+// Traces of every record read and of the age of the view at each choice showed three causes:
+// - a reader reported its view as fresh until a read failed;
+// - an instance that alone had lost the store delayed removals;
+// - an older list from a peer reverted a removal.
+// See docs/incidents/leaving-servers.md.
 
 #include "test/platform/system/gateway_fixture.h"
 
@@ -13,20 +14,20 @@
 namespace bamboostream::test {
 namespace {
 
-/// From the store's word to the last instance that goes by it. Callers may count on two seconds;
-/// the design promises one, and a busy machine gets half a second more here.
+/// Time from a change in the store until the last instance acts on it. Callers are guaranteed two
+/// seconds; the design bound is one, and half a second is added for a loaded machine.
 constexpr milliseconds learning_bound{1'500};
 constexpr int instance_count = 4;
 const std::string entries = "keyed.servers";
 const std::string documents = "keyed.op";
 
-/// Four instances, each with an address of its own at the store, and two backend servers.
+/// Four instances, each with its own address at the store, and two backend servers.
 class leaving_view : public gateway_test {
 protected:
     void start_all() {
         configure(version_, "k");
-        leaver_ = &add_sound_backend("i-1");
-        add_sound_backend("i-2");
+        leaving_backend_ = &add_valid_backend("i-1");
+        add_valid_backend("i-2");
         for (int i = 0; i < instance_count; ++i) {
             stores_.push_back(store_.add_address());
             add_instance(stores_.back());
@@ -34,12 +35,13 @@
         for (const auto& it : instances_) {
             ASSERT_TRUE(serves(*it, "k"));
         }
-        // At the start all read, until they have heard of a reader and their long reads have ended.
-        pass(milliseconds(2'000));
+        // At startup all instances read the store, until they know of a reader and their own long
+        // reads have ended.
+        run_for(milliseconds(2'000));
         ASSERT_TRUE(wait_until([&] { return readers().size() == 2; }));
     }
 
-    /// The instances that read the store for all: only they wait there for records.
+    /// The instances that read the store on behalf of all: only their reads wait for records.
     std::vector<std::size_t> readers() const {
         std::vector<std::size_t> out;
         for (std::size_t i = 0; i < stores_.size(); ++i) {
@@ -51,26 +53,26 @@
         return out;
     }
 
-    void pass(milliseconds time) {
+    void run_for(milliseconds time) {
         wait_until([] { return false; }, time);
     }
 
-    /// The server says that it leaves; it goes on answering.
+    /// The server announces that it leaves, and keeps answering.
     void leave() {
         store_.write(entries, "i-1",
                      fmt::format(R"({{"service":"s","address":"{}","zone":"z0","version":"v1",
 "slots":6,"state":"draining","cold_left_ms":0,"sequence":2,"born":1}})",
-                                 leaver_->address()));
+                                 leaving_backend_->address()));
     }
 
-    /// Long reads that wait for records begin anew.
+    /// Writes records, so that the long reads that wait for them end and new ones start.
     void renew_reads() {
         configure(++version_, "k");
-        add_sound_backend(fmt::format("i-{}", 1 + version_));
-        pass(milliseconds(150));
+        add_valid_backend(fmt::format("i-{}", 1 + version_));
+        run_for(milliseconds(150));
     }
 
-    /// Whether an instance has logged the event about both topics.
+    /// Whether an instance has logged the event for both topics.
     bool has_logged_both(std::size_t instance, std::string_view event) const {
         return has_logged(*instances_[instance], event, "topic=backend_entries") &&
                has_logged(*instances_[instance], event, "topic=operator_documents");
@@ -85,15 +87,15 @@
             });
         };
         EXPECT_TRUE(wait_until(all_know, learning_bound));
-        const std::size_t before = leaver_->requests().size();
+        const std::size_t before = leaving_backend_->requests().size();
         for (const auto& it : instances_) {
             EXPECT_EQ(status_of(*it, "k"), 200);
             EXPECT_EQ(status_of(*it, "k"), 200);
         }
-        EXPECT_EQ(leaver_->requests().size(), before);
+        EXPECT_EQ(leaving_backend_->requests().size(), before);
     }
 
-    scripted_backend* leaver_ = nullptr;
+    scripted_backend* leaving_backend_ = nullptr;
     int version_ = 1;
     std::vector<std::string> stores_;
 };
@@ -107,8 +109,9 @@
                              return info.param == store_manner::refuses ? "refuses" : "is_silent";
                          });
 
-// Both readers' long reads have just begun when the store stops serving them; a server says that it
-// leaves. The readers hear nothing, as if nothing had happened, and the others trust their word.
+// The store stops serving both readers just after their long reads began, and a server announces
+// that it leaves. To the readers this looks as if no record had been written, and the other
+// instances rely on them.
 TEST_P(readers_turned_away, all_learn_that_a_server_leaves) {
     ASSERT_NO_FATAL_FAILURE(start_all());
     renew_reads();
@@ -119,36 +122,38 @@
     expect_all_know("backend_leaving");
 }
 
-// One reader alone is cut off from the store and comes back. A server's entry is removed then. The
-// store was never away, so no entry lapsed for that: the reader must not put the removal off.
+// One reader alone loses the store and reaches it again; then a server's entry is removed. The
+// store itself was available throughout, so no entry expired because of an outage, and the reader
+// must not delay the removal.
 TEST_F(leaving_view, an_outage_of_one_reader_puts_no_removal_off) {
     ASSERT_NO_FATAL_FAILURE(start_all());
     const std::size_t reader = readers().front();
     store_.set_manner(stores_[reader], store_manner::refuses);
     ASSERT_TRUE(wait_until([&] { return has_logged_both(reader, "store_unavailable"); }));
-    pass(milliseconds(1'000));
+    run_for(milliseconds(1'000));
     store_.set_manner(stores_[reader], store_manner::answers);
     ASSERT_TRUE(wait_until([&] { return has_logged_both(reader, "store_available"); }));
-    // By then it asks peers for nothing any more.
-    pass(milliseconds(400));
+    // After this time the reader no longer requests anything from peers.
+    run_for(milliseconds(400));
     remove();
     expect_all_know("backend_down");
 }
 
-// One reader is back from an outage of its own as far as entries go, when the other is cut off and
-// a server's entry is removed. The first reads the removal, asks peers for the configuration's
-// sake, and their lists still have the server. What they list is older than the removal.
+// After an outage of its own, one reader can read entries again but not yet documents, while the
+// other reader has lost the store and a server's entry is removed. The first reads the removal and
+// requests the configuration from peers, whose lists still contain the server. These lists are
+// older than the removal and must not revert it.
 TEST_F(leaving_view, an_older_list_of_a_peer_takes_no_removal_back) {
     ASSERT_NO_FATAL_FAILURE(start_all());
     const std::vector<std::size_t> both = readers();
     store_.set_manner(stores_[both.front()], store_manner::refuses);
     ASSERT_TRUE(wait_until([&] { return has_logged_both(both.front(), "store_unavailable"); }));
-    pass(milliseconds(700));
+    run_for(milliseconds(700));
     renew_reads();
     store_.set_manner(stores_[both.back()], store_manner::is_silent);
     remove();
     store_.set_manner(stores_[both.front()], entries, store_manner::answers);
-    pass(milliseconds(1'000));
+    run_for(milliseconds(1'000));
     store_.set_manner(stores_[both.front()], store_manner::answers);
     expect_all_know("backend_down");
 }
--- a/test/platform/system/soak_requests.h
+++ b/test/platform/system/soak_requests.h
@@ -8,20 +8,20 @@
 
 namespace bamboostream::test {
 
-constexpr int events_a_stream = 6;
+constexpr int events_per_stream = 6;
 
-/// One request of the soak's callers.
+/// A request of one of the soak test's callers.
 struct soak_request {
     std::string id;
     std::string path;
     bool stream = false;
 };
 
-/// The target in the first line of a request.
-std::string path_of(const std::string& request);
+/// Returns the target in the request line of a request.
+std::string request_target(const std::string& request);
 
-/// Sends a request, reads its answer and tells the audit what came. The channel is closed unless
-/// the answer was whole.
+/// Sends a request, reads its answer and reports the outcome to the audit. Closes the connection
+/// unless the answer was complete.
 boost::asio::awaitable<void> send_audited(http_connection& connection, soak_audit& audit,
                                           soak_request request);
 
--- a/test/platform/system/soak_test.cpp
+++ b/test/platform/system/soak_test.cpp
@@ -1,6 +1,6 @@
-// Real gateway processes under series of overlapping faults from outside, with callers that never
-// stop. Which seeds run, and for how long: SOAK_SEEDS (for instance "1-50" or "7") and
-// SOAK_SECONDS; without them one short seeded run.
+// Runs real gateway processes under a series of overlapping injected faults and continuous calls.
+// SOAK_SEEDS (for example "1-50" or "7") selects the seeds and SOAK_SECONDS the length of each run;
+// the default is one run of 6 s with seed 1.
 
 #include "bamboostream/src/Control/async_wait.h"
 #include "test/platform/soak_audit.h"
@@ -19,27 +19,28 @@
 
 constexpr int instance_count = 4;
 constexpr int caller_count = 12;
-/// The operator's configurations hold so many routes of others.
-constexpr int customers_routes = 1'500;
-/// The bound of the deployments. The design promises 1.2 s; the rest is for a busy machine.
+/// Number of additional routes in the operator's configurations that receive no calls.
+constexpr int other_route_count = 1'500;
+/// The bound in deployments for a leaving server to get no new requests. The design bound is 1.2 s;
+/// the rest allows for a loaded machine.
 constexpr milliseconds leaving_bound{2'000};
-/// Long enough that instances which the store turns away cannot wait for its return.
-constexpr milliseconds shortest_half_outage{4'000};
-/// A server leaves so long after the store has fallen silent, when all reads are under way.
-constexpr milliseconds leaves_after{200};
-/// The grace of these instances and a little more.
+/// Long enough that the instances without the store cannot just wait until it is available again.
+constexpr milliseconds min_half_outage{4'000};
+/// Time from when the store stops answering until a server leaves: by then all reads are pending.
+constexpr milliseconds leaving_delay{200};
+/// The grace period of the instances (4 s) plus a margin.
 constexpr milliseconds restart_after_term{5'000};
-/// An instance that was left alone for so long is in touch with the others.
-constexpr milliseconds contact_time{3'000};
-constexpr milliseconds harmful_pause{150};
+/// An instance that was undisturbed for this long knows what the others know.
+constexpr milliseconds catch_up_time{3'000};
+constexpr milliseconds harmful_interval{150};
 constexpr int harmful_callers = 2;
 constexpr const char* harmful_prefix = "/a/harmful-";
-constexpr milliseconds entry_outlives_server{2'000};
-constexpr milliseconds next_server_after{600};
-/// After the last fault everything must serve again.
+constexpr milliseconds entry_removal_delay{2'000};
+constexpr milliseconds replacement_delay{600};
+/// Time after the last fault within which every instance must serve again.
 constexpr milliseconds recovery_bound{12'000};
 
-/// A backend server and the proxy that stands before it.
+/// A backend server and the proxy in front of it.
 struct soak_server {
     std::string id;
     scripted_backend* backend = nullptr;
@@ -78,30 +79,30 @@
     soak_test() = default;
     ~soak_test() override { stop_callers(); }
 
-    void play() {
+    void run_soak() {
         const auto plan = make_soak_plan(GetParam(), length());
         fmt::print("seed {}\n{}", GetParam(), print(plan));
-        configure(version_, "k", customers_routes);
+        configure(version_, "k", other_route_count);
         for (int i = 0; i < 3; ++i) {
             add_server();
         }
         for (int i = 0; i < instance_count; ++i) {
             stores_.push_back(store_.add_address());
             add_instance(stores_.back());
-            ending_.push_back(false);
+            stopping_.push_back(false);
         }
         ASSERT_TRUE(serves(*instances_.front(), "k"));
         for (int i = 0; i < caller_count; ++i) {
-            asio::co_spawn(context_, call_on(i), asio::detached);
+            asio::co_spawn(context_, run_caller(i), asio::detached);
         }
         const time_point began = monotonic_now();
         for (const soak_step& step : plan) {
             run_until(began + step.at);
-            begin(step);
+            inject(step);
         }
         run_until(began + length());
-        stop_harm();
-        end_all();
+        stop_harmful_requests();
+        run_scheduled();
         expect_recovery();
         stop_callers();
         fmt::print("answered {} refused {} unknown {}\n", audit_.answered(), audit_.refused(),
@@ -111,7 +112,7 @@
     }
 
 private:
-    struct pending_end {
+    struct scheduled_action {
         time_point at;
         std::function<void()> run;
     };
@@ -122,73 +123,73 @@
             context_.run_for(milliseconds(5));
             watch_processes();
             const time_point now = monotonic_now();
-            while (!ends_.empty() && ends_.front().at <= now) {
-                const auto end = std::move(ends_.front().run);
-                ends_.pop_front();
-                end();
+            while (!scheduled_.empty() && scheduled_.front().at <= now) {
+                const auto action = std::move(scheduled_.front().run);
+                scheduled_.pop_front();
+                action();
             }
         } while (monotonic_now() < until);
     }
 
-    void later(milliseconds after, std::function<void()> run) {
+    void schedule(milliseconds after, std::function<void()> run) {
         const time_point at = monotonic_now() + after;
-        const auto place =
-            std::upper_bound(ends_.begin(), ends_.end(), at,
-                             [](time_point t, const pending_end& end) { return t < end.at; });
-        ends_.insert(place, {at, std::move(run)});
+        const auto place = std::upper_bound(
+            scheduled_.begin(), scheduled_.end(), at,
+            [](time_point t, const scheduled_action& action) { return t < action.at; });
+        scheduled_.insert(place, {at, std::move(run)});
     }
 
     void watch_processes() {
         for (std::size_t i = 0; i < instances_.size(); ++i) {
             process& running = *instances_[i]->running;
-            if (!running.ended() && running.wait_for_end(milliseconds(0)) && !ending_[i]) {
-                audit_.ended_by_itself(instances_[i]->ip, running.exit_code());
+            if (!running.ended() && running.wait_for_end(milliseconds(0)) && !stopping_[i]) {
+                audit_.process_exited(instances_[i]->ip, running.exit_code());
             }
         }
     }
 
     void restart(std::size_t i) {
-        instances_[i]->running->wait_for_end(patience);
+        instances_[i]->running->wait_for_end(wait_timeout);
         start(*instances_[i]);
-        ending_[i] = false;
+        stopping_[i] = false;
         disturbed_until_[i] = monotonic_now();
     }
 
-    void begin(const soak_step& step) {
+    void inject(const soak_step& step) {
         const std::size_t i = step.target % instances_.size();
         soak_server& server = *servers_[step.target % servers_.size()];
-        const bool disturbs_hearing = step.fault <= soak_fault::pause;
-        if (disturbs_hearing) {
-            disturbed_until_[i] = std::max(disturbed_until_[i], monotonic_now() + step.lasts);
-            excuse_until(monotonic_now() + std::max(step.lasts, restart_after_term));
+        const bool disturbs_learning = step.fault <= soak_fault::pause;
+        if (disturbs_learning) {
+            disturbed_until_[i] = std::max(disturbed_until_[i], monotonic_now() + step.duration);
+            tolerate_until(monotonic_now() + std::max(step.duration, restart_after_term));
         }
         switch (step.fault) {
         case soak_fault::kill:
-            end_instance(i, SIGKILL, step.lasts);
+            stop_instance(i, SIGKILL, step.duration);
             break;
         case soak_fault::terminate:
-            end_instance(i, SIGTERM, restart_after_term);
+            stop_instance(i, SIGTERM, restart_after_term);
             break;
         case soak_fault::pause:
             instances_[i]->running->signal(SIGSTOP);
-            later(step.lasts, [this, i] { instances_[i]->running->signal(SIGCONT); });
+            schedule(step.duration, [this, i] { instances_[i]->running->signal(SIGCONT); });
             break;
         case soak_fault::store_refuses:
         case soak_fault::store_is_silent:
-            turn_away(i, step.lasts,
-                      step.fault == soak_fault::store_refuses ? store_manner::refuses
-                                                              : store_manner::is_silent);
+            reject_calls_of(i, step.duration,
+                            step.fault == soak_fault::store_refuses ? store_manner::refuses
+                                                                    : store_manner::is_silent);
             break;
         case soak_fault::store_is_silent_to_half:
-            turn_half_away(i, step.lasts + shortest_half_outage);
-            later(leaves_after, [this, &server] { leave(server, "draining"); });
+            reject_calls_of_half(i, step.duration + min_half_outage);
+            schedule(leaving_delay, [this, &server] { leave(server, "draining"); });
             break;
         case soak_fault::store_forgets:
             store_.forget_history("keyed.op");
             store_.forget_history("keyed.servers");
             break;
         case soak_fault::configuration:
-            configure(++version_, "k", customers_routes);
+            configure(++version_, "k", other_route_count);
             break;
         case soak_fault::harmful_request:
             for (int n = 0; n < harmful_callers; ++n) {
@@ -207,77 +208,81 @@
             add_server();
             break;
         case soak_fault::link_stalls:
-            disturb(server, R"({"stalled":1})", R"({"stalled":0})", step.lasts);
+            inject_link_fault(server, R"({"stalled":1})", R"({"stalled":0})", step.duration);
             break;
         case soak_fault::link_cut:
-            disturb(server, R"({"cut":1})", "", step.lasts);
+            inject_link_fault(server, R"({"cut":1})", "", step.duration);
             break;
         case soak_fault::link_loses_answers:
-            disturb(server, R"({"lose_answers":1})", R"({"lose_answers":0})", step.lasts);
+            inject_link_fault(server, R"({"lose_answers":1})", R"({"lose_answers":0})",
+                              step.duration);
             break;
         case soak_fault::link_refuses:
-            disturb(server, R"({"refuse":1})", R"({"refuse":0})", step.lasts);
+            inject_link_fault(server, R"({"refuse":1})", R"({"refuse":0})", step.duration);
             break;
         case soak_fault::count_:
             break;
         }
     }
 
-    void end_instance(std::size_t i, int signal, milliseconds after) {
-        if (ending_[i]) {
+    void stop_instance(std::size_t i, int signal, milliseconds after) {
+        if (stopping_[i]) {
             return;
         }
-        ending_[i] = true;
+        stopping_[i] = true;
         instances_[i]->running->signal(SIGCONT);
         instances_[i]->running->signal(signal);
-        later(after, [this, i] { restart(i); });
+        schedule(after, [this, i] { restart(i); });
     }
 
-    void disturb(const soak_server& server, const std::string& fault, const std::string& mend,
-                 milliseconds lasts) {
-        tell(server, fault);
-        if (!mend.empty()) {
-            later(lasts, [this, &server, mend] { tell(server, mend); });
+    void inject_link_fault(const soak_server& server, const std::string& fault,
+                           const std::string& undo, milliseconds duration) {
+        send_command(server, fault);
+        if (!undo.empty()) {
+            schedule(duration, [this, &server, undo] { send_command(server, undo); });
         }
     }
 
-    /// The port of a proxy that has ended may be another's by now.
-    void tell(const soak_server& server, const std::string& command) {
+    /// Sends nothing to the proxy of a crashed server: another process may use its port by now.
+    void send_command(const soak_server& server, const std::string& command) {
         if (server.listed) {
             call(server.control, make_request("POST", "/control", command));
         }
     }
 
-    void excuse_until(time_point end) {
-        hearing_disturbed_until_ = std::max(hearing_disturbed_until_, end);
+    void tolerate_until(time_point end) {
+        learning_disturbed_until_ = std::max(learning_disturbed_until_, end);
     }
 
-    /// The store turns one instance away. While it serves another one, all must still hear what
-    /// servers say in time, so that alone excuses nobody.
-    void turn_away(std::size_t i, milliseconds lasts, store_manner manner) {
+    /// The store fails the calls of one instance. As long as it serves another instance, all of
+    /// them must still learn in time that servers leave, so late requests are only tolerated when
+    /// the store serves none.
+    void reject_calls_of(std::size_t i, milliseconds duration, store_manner manner) {
         const time_point now = monotonic_now();
         store_.set_manner(stores_[i], manner);
-        turned_away_until_[i] = std::max(turned_away_until_[i], now + lasts);
-        later(lasts, [this, i] {
-            if (monotonic_now() >= turned_away_until_[i]) {
+        rejected_until_[i] = std::max(rejected_until_[i], now + duration);
+        schedule(duration, [this, i] {
+            if (monotonic_now() >= rejected_until_[i]) {
                 store_.set_manner(stores_[i], store_manner::answers);
             }
         });
         const time_point first_served =
-            *std::min_element(turned_away_until_.begin(), turned_away_until_.end());
+            *std::min_element(rejected_until_.begin(), rejected_until_.end());
         if (first_served > now) {
-            excuse_until(first_served + restart_after_term);
+            tolerate_until(first_served + restart_after_term);
         }
     }
 
-    /// Half of the instances hear nothing from the store; both that read for all may be among them.
-    void turn_half_away(std::size_t first, milliseconds lasts) {
+    /// The store answers no calls of half of the instances. These may include both readers, which
+    /// read the store on behalf of all.
+    void reject_calls_of_half(std::size_t first, milliseconds duration) {
         for (std::size_t n = 0; n < instances_.size() / 2; ++n) {
-            turn_away((first + n) % instances_.size(), lasts, store_manner::is_silent);
+            reject_calls_of((first + n) % instances_.size(), duration, store_manner::is_silent);
         }
     }
 
-    /// An empty state removes the entry.
+    /// Announces `state` for a server, or removes its entry when `state` is empty. Does nothing
+    /// if the server has left already or fewer than two servers remain.
     void leave(soak_server& server, const std::string& state) {
         const auto listed = std::count_if(servers_.begin(), servers_.end(),
                                           [](const auto& s) { return s->listed && !s->left; });
@@ -329,45 +334,46 @@
         return line;
     }
 
-    bool must_be_known_to_leave(const soak_server& server) const {
+    bool must_be_known_as_leaving(const soak_server& server) const {
         if (!server.left) {
             return false;
         }
-        const time_point heard_from = std::max(*server.left, hearing_disturbed_until_);
-        return monotonic_now() - heard_from > leaving_bound;
+        const time_point learning_start = std::max(*server.left, learning_disturbed_until_);
+        return monotonic_now() - learning_start > leaving_bound;
     }
 
-    /// Answers with the request's id, or streams events; now and then it says "not run", breaks off
-    /// or answers for another request.
+    /// Answers with the request's id, or streams events. Sometimes it answers "not run", resets the
+    /// connection or sends the answer of another request. Crashes on a harmful request.
     asio::awaitable<void> serve(scripted_connection& c, soak_server& server) {
         const std::string id = c.field("Attempt-Id");
-        if (must_be_known_to_leave(server)) {
-            audit_.sent_to_left_server(id, server.id);
+        if (must_be_known_as_leaving(server)) {
+            audit_.request_reached_left_server(id, server.id);
         }
-        const unsigned luck = std::uniform_int_distribution<unsigned>(0, 99)(random_);
-        if (luck < 4) {
+        const unsigned draw = std::uniform_int_distribution<unsigned>(0, 99)(random_);
+        if (draw < 4) {
             co_await c.send(fmt::format("HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: {}\r\n"
                                         "Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
                                         id));
             co_return;
         }
         audit_.ran(id, server.id);
-        co_await c.pause(static_cast<int>(luck % 30));
+        co_await c.pause(static_cast<int>(draw % 30));
         if (c.request().find(harmful_prefix) != std::string::npos) {
-            audit_.ended_a_server(path_of(c.request()), monotonic_now(), is_in_touch(sent_by_[id]));
-            end_server(server);
+            audit_.server_crashed(request_target(c.request()), monotonic_now(),
+                                  is_up_to_date(instance_of_request_[id]));
+            crash_server(server);
             co_return;
         }
-        if (luck < 8) {
+        if (draw < 8) {
             c.reset();
             co_return;
         }
         const std::string head = fmt::format(
-            "HTTP/1.1 200 OK\r\nAttempt-Id: {}\r\nResponse-Seal: s\r\n", luck < 12 ? "other" : id);
+            "HTTP/1.1 200 OK\r\nAttempt-Id: {}\r\nResponse-Seal: s\r\n", draw < 12 ? "other" : id);
         if (c.request().starts_with("GET /s/")) {
             co_await c.send(head + "Content-Type: text/event-stream\r\n"
                                    "Transfer-Encoding: chunked\r\n\r\n");
-            for (int i = 0; i < events_a_stream; ++i) {
+            for (int i = 0; i < events_per_stream; ++i) {
                 const std::string event = fmt::format("id: {0}\ndata: {0}\n\n", i);
                 co_await c.send(fmt::format("{:x}\r\n{}\r\n", event.size(), event));
                 co_await c.pause(10);
@@ -378,8 +384,8 @@
         co_await c.send(fmt::format("{}Content-Length: {}\r\n\r\n{}", head, id.size(), id));
     }
 
-    /// A caller that keeps its connection until the process behind it is gone.
-    asio::awaitable<void> call_on(int caller) {
+    /// A caller that reuses its connection as long as possible, then connects to the next instance.
+    asio::awaitable<void> run_caller(int caller) {
         std::shared_ptr<http_connection> connection;
         std::size_t at = static_cast<std::size_t>(caller);
         ++callers_;
@@ -403,56 +409,56 @@
         --callers_;
     }
 
-    /// Sends a request that ends the server which runs it, again and again, at any instance.
+    /// Repeatedly sends a request that crashes the server that runs it, to random instances.
     asio::awaitable<void> send_harmful(std::string path) {
         ++harmful_senders_;
-        while (!harm_is_over_) {
+        while (!stop_harmful_) {
             const std::size_t at =
                 std::uniform_int_distribution<std::size_t>(0, instances_.size() - 1)(random_);
             http_connection connection(context_.get_executor());
             http_failure why;
             if (co_await connection.connect(instances_[at]->ip + ":8740", milliseconds(500), why)) {
                 soak_request request{random_id(), path, false};
-                sent_by_[request.id] = at;
+                instance_of_request_[request.id] = at;
                 co_await send_audited(connection, audit_, std::move(request));
                 connection.close();
             }
-            co_await pause_for(harmful_pause);
+            co_await pause_for(harmful_interval);
         }
         --harmful_senders_;
     }
 
-    /// Its connections break and new ones are refused; its entry goes later, and another server
-    /// comes.
-    void end_server(soak_server& server) {
+    /// Simulates the crash of a server: its connections break and new ones are refused. Its entry
+    /// is removed later, and another server joins.
+    void crash_server(soak_server& server) {
         if (!server.listed || server.left) {
             return;
         }
         server.listed = false;
         server.proxy->signal(SIGKILL);
         server.backend->end_process();
-        later(entry_outlives_server,
-              [this, id = server.id] { store_.write("keyed.servers", id, ""); });
-        later(next_server_after, [this] { add_server(); });
+        schedule(entry_removal_delay,
+                 [this, id = server.id] { store_.write("keyed.servers", id, ""); });
+        schedule(replacement_delay, [this] { add_server(); });
     }
 
-    /// Whether an instance has had nothing done to it for so long that it must know what the others
-    /// know.
-    bool is_in_touch(std::size_t i) const {
-        return !ending_[i] && monotonic_now() >= disturbed_until_[i] + contact_time;
+    /// Whether an instance was undisturbed for long enough that it must know what the others know.
+    bool is_up_to_date(std::size_t i) const {
+        return !stopping_[i] && monotonic_now() >= disturbed_until_[i] + catch_up_time;
     }
 
-    /// Servers that end while the instances recover would not be replaced.
-    void stop_harm() {
-        harm_is_over_ = true;
+    /// Stops the harmful requests before recovery is checked: servers that crash after that would
+    /// not be replaced.
+    void stop_harmful_requests() {
+        stop_harmful_ = true;
         while (harmful_senders_ > 0) {
-            run_until(monotonic_now() + harmful_pause);
+            run_until(monotonic_now() + harmful_interval);
         }
     }
 
-    void end_all() {
-        while (!ends_.empty()) {
-            run_until(ends_.front().at);
+    void run_scheduled() {
+        while (!scheduled_.empty()) {
+            run_until(scheduled_.front().at);
         }
     }
 
@@ -472,31 +478,32 @@
     std::mt19937_64 random_{GetParam()};
     soak_audit audit_;
     std::vector<std::string> stores_;
-    std::vector<time_point> turned_away_until_ = std::vector<time_point>(instance_count);
+    std::vector<time_point> rejected_until_ = std::vector<time_point>(instance_count);
     std::vector<time_point> disturbed_until_ = std::vector<time_point>(instance_count);
     std::vector<std::unique_ptr<soak_server>> servers_;
-    /// The instance that an attempt at a harmful request went to.
-    std::map<std::string, std::size_t> sent_by_;
-    /// Instances that this test has told to end.
-    std::vector<bool> ending_;
-    std::deque<pending_end> ends_;
+    /// The instance that received a harmful request, by the request's id.
+    std::map<std::string, std::size_t> instance_of_request_;
+    /// Instances that this test has stopped and not yet restarted.
+    std::vector<bool> stopping_;
+    std::deque<scheduled_action> scheduled_;
     int version_ = 1;
     int callers_ = 0;
     int harmful_senders_ = 0;
-    bool harm_is_over_ = false;
+    bool stop_harmful_ = false;
     bool stop_ = false;
-    /// Until then some instance may not have heard what servers say.
-    time_point hearing_disturbed_until_{};
+    /// Until this time some instances may not have learned that servers leave.
+    time_point learning_disturbed_until_{};
 };
 
 INSTANTIATE_TEST_SUITE_P(seeds, soak_test, testing::ValuesIn(seeds()),
                          [](const auto& info) { return std::to_string(info.param); });
 
-// Callers call without pause while processes are killed, paused, ended and started, the store turns
-// instances away and forgets, links stall and break, servers come and go, all at once. Every
-// promise is checked as it goes; at the end every instance serves again.
+// Callers send requests continuously while processes are killed, paused, terminated and restarted,
+// the store fails calls and loses its history, links stall and break, and servers join, leave and
+// crash, all at the same time. Every guarantee is checked throughout; at the end every instance
+// must serve again.
 TEST_P(soak_test, promises_hold_under_overlapping_faults) {
-    play();
+    run_soak();
 }
 
 } // namespace
